--- a/crates/drill/src/main.rs
+++ b/crates/drill/src/main.rs
@@ -7,9 +7,9 @@
 
 fn main() -> ExitCode {
     let out = BufWriter::with_capacity(1 << 16, io::stdout().lock());
-    match wire::Drill::default().run(io::stdin().lock(), out, |complaint| {
+    match wire::Drill::default().run(io::stdin().lock(), out, |error| {
         // A closed standard error is no reason to stop.
-        let _ = writeln!(io::stderr(), "ravenspar-drill: {complaint}");
+        let _ = writeln!(io::stderr(), "ravenspar-drill: {error}");
     }) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
--- a/crates/drill/src/wire.rs
+++ b/crates/drill/src/wire.rs
@@ -1,4 +1,4 @@
-//! Decodes a batch line by line, hands each event to its instance, pulls the orders and encodes them.
+//! Decodes a batch line by line, passes each event to its steward, and encodes the resulting orders as the reply.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -9,7 +9,7 @@
     from_seconds, Health, IdTable, Order, Scope, Settings, Steward, Time, SECOND, WHOLE,
 };
 
-/// One steward with the id tables of its own door. Instances share nothing.
+/// One steward with its own id tables. Instances share no state.
 struct Instance {
     steward: Steward,
     servers: IdTable<u32>,
@@ -17,29 +17,31 @@
     slices: usize,
 }
 
+/// All stewards of a simulation, and the state of the batch that is being read.
 #[derive(Default)]
 pub struct Drill {
     instances: BTreeMap<u32, Instance>,
-    /// The numbered lists as their lines came; an event that names one decodes it for its instance.
-    sheets: BTreeMap<u8, Vec<String>>,
-    filling: Option<u8>,
-    /// Instances with an event in this batch, in order.
-    turns: Vec<u32>,
-    /// Instances that can't do without the setting named.
-    refused: BTreeMap<u32, &'static str>,
+    /// The numbered server lists as raw lines; they are decoded for each instance whose event names one.
+    lists: BTreeMap<u8, Vec<String>>,
+    /// Number of the list that the next entries belong to.
+    open_list: Option<u8>,
+    /// Instances with an event in this batch, in order of their first one.
+    active: Vec<u32>,
+    /// Required settings that were missing, by instance.
+    missing_settings: BTreeMap<u32, &'static str>,
 }
 
-/// The fields of one line.
-struct Line<'a> {
+/// A decoded input line: the name of the message and its fields.
+struct Message<'a> {
     name: &'a str,
     fields: Vec<(&'a str, &'a str)>,
 }
 
-impl<'a> Line<'a> {
-    fn read(text: &'a str) -> Line<'a> {
+impl<'a> Message<'a> {
+    fn parse(text: &'a str) -> Message<'a> {
         let mut parts = text.split(' ').filter(|part| !part.is_empty());
         let name = parts.next().unwrap_or("");
-        Line { name, fields: parts.filter_map(|part| part.split_once('=')).collect() }
+        Message { name, fields: parts.filter_map(|part| part.split_once('=')).collect() }
     }
 
     fn text(&self, field: &str) -> Result<&'a str, String> {
@@ -81,27 +83,27 @@
 }
 
 impl Drill {
-    /// Answers batches until the input ends; complaints about single lines go to `complain`.
+    /// Answers batches until the input ends; errors in single lines go to `report_error`.
     pub fn run(
         &mut self,
         input: impl BufRead,
         mut out: impl Write,
-        mut complain: impl FnMut(&str),
+        mut report_error: impl FnMut(&str),
     ) -> io::Result<()> {
         let mut batch: Option<(Time, u64)> = None;
         for line in input.split(b'\n') {
             let bytes = line?;
             let text = String::from_utf8_lossy(&bytes);
             let text = text.trim_end_matches('\r');
-            let line = Line::read(text);
+            let line = Message::parse(text);
             let result = match (line.name, batch) {
                 ("", _) => Ok(()),
                 ("BEGIN_BATCH", open) => {
                     if open.is_some() {
-                        complain("BEGIN_BATCH: the batch before it has no YOUR_TURN");
+                        report_error("BEGIN_BATCH: the batch before it has no YOUR_TURN");
                     }
-                    self.turns.clear();
-                    self.filling = None;
+                    self.active.clear();
+                    self.open_list = None;
                     line.time("ts_s").and_then(|now| line.get("seq").map(|seq| batch = Some((now, seq))))
                 }
                 (name, None) => Err(format!("{name:.80}: outside a batch")),
@@ -114,8 +116,8 @@
                 }
                 (_, Some((now, _))) => self.event(now, &line, text),
             };
-            if let Err(complaint) = result {
-                complain(&complaint);
+            if let Err(error) = result {
+                report_error(&error);
             }
         }
         match batch {
@@ -124,30 +126,30 @@
         }
     }
 
-    fn event(&mut self, now: Time, line: &Line, text: &str) -> Result<(), String> {
+    fn event(&mut self, now: Time, line: &Message, text: &str) -> Result<(), String> {
         if line.name == "M" {
-            let sheet = self.filling.ok_or("M: no SNAPSHOT_ROWS before it")?;
-            self.sheets.entry(sheet).or_default().push(text.to_owned());
+            let sheet = self.open_list.ok_or("M: no SNAPSHOT_ROWS before it")?;
+            self.lists.entry(sheet).or_default().push(text.to_owned());
             return Ok(());
         }
-        self.filling = None;
+        self.open_list = None;
         if line.name == "SNAPSHOT_ROWS" {
             let sheet = line.get("sheet")?;
             if sheet > 15 {
                 return Err(format!("SNAPSHOT_ROWS: field sheet is out of range: {sheet}"));
             }
-            self.filling = Some(sheet);
-            self.sheets.insert(sheet, Vec::new());
+            self.open_list = Some(sheet);
+            self.lists.insert(sheet, Vec::new());
             return line.get::<usize>("hosts").map(|_| ());
         }
         let number = line.instance()?;
         if line.name == "BEGIN" {
             self.instances.remove(&number);
-            self.turn_of(number);
+            self.mark_active(number);
             return self.begin(now, number, line);
         }
         if line.name == "STOP" {
-            self.turns.retain(|&turn| turn != number);
+            self.active.retain(|&active| active != number);
             return match self.instances.remove(&number) {
                 Some(_) => Ok(()),
                 None => Err(format!("STOP: steward-{number} was never started")),
@@ -157,18 +159,18 @@
             .instances
             .get_mut(&number)
             .ok_or_else(|| format!("{}: steward-{number} was never started", line.name))?;
-        instance.take(now, line, &self.sheets)?;
-        self.turn_of(number);
+        instance.apply(now, line, &self.lists)?;
+        self.mark_active(number);
         Ok(())
     }
 
-    fn turn_of(&mut self, number: u32) {
-        if !self.turns.contains(&number) {
-            self.turns.push(number);
+    fn mark_active(&mut self, number: u32) {
+        if !self.active.contains(&number) {
+            self.active.push(number);
         }
     }
 
-    fn begin(&mut self, now: Time, number: u32, line: &Line) -> Result<(), String> {
+    fn begin(&mut self, now: Time, number: u32, line: &Message) -> Result<(), String> {
         let seed = line.get("rng_seed")?;
         let mut settings = Settings::default();
         line.fields.iter().for_each(|(name, value)| settings.set(name, value));
@@ -179,7 +181,7 @@
                     .insert(number, Instance { steward, servers: IdTable::default(), kinds, slices });
             }
             Err(name) => {
-                self.refused.insert(number, name);
+                self.missing_settings.insert(number, name);
             }
         }
         Ok(())
@@ -187,14 +189,14 @@
 
     fn reply(&mut self, now: Time, seq: u64) -> String {
         let mut reply = String::new();
-        for number in self.turns.drain(..) {
-            if let Some(name) = self.refused.remove(&number) {
+        for number in self.active.drain(..) {
+            if let Some(name) = self.missing_settings.remove(&number) {
                 let _ = writeln!(reply, "GIVE_IN i=steward-{number} words=the setting {name} is missing");
             }
             if let Some(instance) = self.instances.get_mut(&number) {
                 instance.steward.news_heard(now);
                 while let Some(order) = instance.steward.next_order(now) {
-                    instance.put(number, &order, &mut reply);
+                    instance.write_order(number, &order, &mut reply);
                 }
             }
         }
@@ -204,11 +206,11 @@
 }
 
 impl Instance {
-    fn server(&mut self, line: &Line) -> Result<usize, String> {
+    fn server(&mut self, line: &Message) -> Result<usize, String> {
         Ok(self.servers.index(&line.get("host")?))
     }
 
-    fn slice(&self, line: &Line) -> Result<usize, String> {
+    fn slice(&self, line: &Message) -> Result<usize, String> {
         let slice = line.get("map_id")?;
         if slice < self.slices {
             Ok(slice)
@@ -217,10 +219,10 @@
         }
     }
 
-    fn take(&mut self, now: Time, line: &Line, sheets: &BTreeMap<u8, Vec<String>>) -> Result<(), String> {
-        let proxy = |line: &Line| line.get::<u16>("client_lb").map(usize::from);
+    fn apply(&mut self, now: Time, line: &Message, lists: &BTreeMap<u8, Vec<String>>) -> Result<(), String> {
+        let proxy = |line: &Message| line.get::<u16>("client_lb").map(usize::from);
         match line.name {
-            "MEMBERSHIP" => self.list(now, line, sheets)?,
+            "MEMBERSHIP" => self.list(now, line, lists)?,
             "JOINED" => self.steward.joined(proxy(line)?, line.number("heft").unwrap_or(0.0)),
             "STREAM_DOWN" => self.steward.stream_down(now, proxy(line)?),
             "INSTALLED" => self.steward.installed(now, proxy(line)?, line.get("number")?),
@@ -262,7 +264,7 @@
         Ok(())
     }
 
-    fn list(&mut self, now: Time, line: &Line, sheets: &BTreeMap<u8, Vec<String>>) -> Result<(), String> {
+    fn list(&mut self, now: Time, line: &Message, lists: &BTreeMap<u8, Vec<String>>) -> Result<(), String> {
         let scope = match line.text("scope")? {
             "error" => {
                 self.steward.list_failed(now);
@@ -274,32 +276,32 @@
             value => return Err(format!("MEMBERSHIP: field scope can't be read: {value:.80}")),
         };
         let sheet: u8 = line.get("sheet")?;
-        let rows =
-            sheets.get(&sheet).ok_or_else(|| format!("MEMBERSHIP: field sheet is unknown: {sheet}"))?;
-        let mut complaint = Ok(());
+        let entries =
+            lists.get(&sheet).ok_or_else(|| format!("MEMBERSHIP: field sheet is unknown: {sheet}"))?;
+        let mut error = Ok(());
         self.steward.list_begin(scope);
-        for row in rows {
-            complaint = complaint.and(self.list_entry(&Line::read(row)));
+        for entry in entries {
+            error = error.and(self.list_entry(&Message::parse(entry)));
         }
         self.steward.list_end(scope);
-        complaint
+        error
     }
 
-    fn list_entry(&mut self, row: &Line) -> Result<(), String> {
-        let health = match row.text("health")? {
+    fn list_entry(&mut self, entry: &Message) -> Result<(), String> {
+        let health = match entry.text("health")? {
             "healthy" => Health::Ready,
             "cordoned" => Health::Draining,
             "deregistered" => Health::Gone,
             value => return Err(format!("M: field health can't be read: {value:.80}")),
         };
-        let boot = if row.text("boot_time_s").is_ok() { row.time("boot_time_s")? } else { 0 };
-        let server = self.server(row)?;
+        let boot = if entry.text("boot_time_s").is_ok() { entry.time("boot_time_s")? } else { 0 };
+        let server = self.server(entry)?;
         self.steward.list_entry(server, health, boot);
         Ok(())
     }
 
-    /// Writes one order as a line of the reply. Indices come from this instance's own tables.
-    fn put(&self, number: u32, order: &Order, reply: &mut String) {
+    /// Writes an order as a line of the reply, with the ids from this instance's tables.
+    fn write_order(&self, number: u32, order: &Order, reply: &mut String) {
         let host = |server: &usize| self.servers.id(*server).copied().unwrap_or_default();
         let i = format!("i=steward-{number}");
         // Writing to a string can't fail.
--- a/crates/drill/src/wire/tests.rs
+++ b/crates/drill/src/wire/tests.rs
@@ -1,14 +1,16 @@
+//! Replies and error messages for batches of input lines.
+
 use super::*;
 
 const BEGIN: &str = "BEGIN i=steward-3 rng_seed=7 family_info.ranges=2 family_info.write_lease_s=4.0 \
      family_info.settle_s=5.0 family_info.channel_rate=3000 odd_key=1 classes.count=1 classes.0.name=quote";
 
-/// What is replied and complained of for these lines of input.
+/// Returns the replies, the error messages and the result for these lines of input.
 fn run(lines: &[&str]) -> (String, Vec<String>, io::Result<()>) {
-    let (mut out, mut complaints) = (Vec::new(), Vec::new());
+    let (mut out, mut errors) = (Vec::new(), Vec::new());
     let input = lines.join("\n");
-    let end = Drill::default().run(input.as_bytes(), &mut out, |text| complaints.push(text.to_owned()));
-    (String::from_utf8(out).expect("replies are text"), complaints, end)
+    let result = Drill::default().run(input.as_bytes(), &mut out, |text| errors.push(text.to_owned()));
+    (String::from_utf8(out).expect("replies are UTF-8"), errors, result)
 }
 
 fn batch(lines: &[&str]) -> (String, Vec<String>, io::Result<()>) {
@@ -17,9 +19,9 @@
 
 #[test]
 fn an_empty_batch_is_answered_with_its_number() {
-    let (out, complaints, end) = batch(&[]);
-    assert_eq!((out.as_str(), complaints.len()), ("FINISHED seq=4\n", 0));
-    assert!(end.is_ok());
+    let (out, errors, result) = batch(&[]);
+    assert_eq!((out.as_str(), errors.len()), ("FINISHED seq=4\n", 0));
+    assert!(result.is_ok());
 }
 
 #[test]
@@ -29,22 +31,22 @@
 }
 
 #[test]
-fn a_started_instance_acts_and_passes_over_unknown_keys() {
-    let (out, complaints, _) = batch(&[BEGIN]);
+fn a_started_instance_replies_and_ignores_unknown_settings() {
+    let (out, errors, _) = batch(&[BEGIN]);
     assert_eq!(out, "REMIND i=steward-3 ctx=1 time_s=8.6000\nFINISHED seq=4\n");
-    assert_eq!(complaints, [""; 0]);
+    assert_eq!(errors, [""; 0]);
 }
 
 #[test]
-fn a_missing_setting_is_given_in_by_name() {
+fn a_missing_setting_is_reported_by_name() {
     let (out, ..) = batch(&["BEGIN i=steward-3 rng_seed=7 family_info.ranges=2"]);
     let words = "GIVE_IN i=steward-3 words=the setting family_info.write_lease_s is missing";
     assert_eq!(out, format!("{words}\nFINISHED seq=4\n"));
 }
 
 #[test]
-fn bad_lines_are_named_and_the_rest_of_the_batch_goes_on() {
-    for (line, complaint) in [
+fn invalid_lines_are_reported_and_the_rest_of_the_batch_is_processed() {
+    for (line, error) in [
         ("GIVEN i=steward-3 active=1", "GIVEN: field map_id is missing"),
         ("GIVEN i=steward-3 map_id=x active=1", "GIVEN: field map_id can't be read: x"),
         ("GIVEN i=steward-3 map_id=2 active=1", "GIVEN: field map_id is out of range: 2"),
@@ -63,21 +65,21 @@
             "TRAFFIC_REPORT: field tries_n is out of range: NaN",
         ),
     ] {
-        let (out, complaints, end) = batch(&[BEGIN, line]);
-        assert_eq!(complaints, [complaint]);
+        let (out, errors, result) = batch(&[BEGIN, line]);
+        assert_eq!(errors, [error]);
         assert_eq!(out, "REMIND i=steward-3 ctx=1 time_s=8.6000\nFINISHED seq=4\n");
-        assert!(end.is_ok());
+        assert!(result.is_ok());
     }
 }
 
 #[test]
-fn a_line_outside_a_batch_is_named() {
+fn a_line_outside_a_batch_is_reported() {
     assert_eq!(run(&[BEGIN, ""]).1, ["BEGIN: outside a batch"]);
 }
 
 #[test]
-fn a_list_number_means_the_list_that_came_last() {
-    let (out, complaints, _) = batch(&[
+fn a_list_number_refers_to_the_latest_list_with_it() {
+    let (out, errors, _) = batch(&[
         BEGIN,
         "SNAPSHOT_ROWS sheet=0 hosts=2",
         "M host=51 health=healthy",
@@ -89,14 +91,14 @@
         "M host=51 health=cordoned",
         "MEMBERSHIP i=steward-3 sheet=0 scope=diff",
     ]);
-    assert_eq!(complaints, [""; 0]);
+    assert_eq!(errors, [""; 0]);
     let orders: Vec<&str> = out.lines().filter(|line| !line.starts_with("REMIND")).collect();
     let drop = "DROP_LINES i=steward-3 map_id=1";
     assert_eq!(orders, [drop, "STAMP i=steward-3 number=1 active=1", "FINISHED seq=4"]);
 }
 
 #[test]
-fn instances_answer_apart_from_each_other() {
+fn instances_reply_independently() {
     let other = BEGIN.replace("steward-3", "steward-5");
     let (out, ..) = batch(&[BEGIN, &other, "STOP i=steward-3"]);
     assert_eq!(out, "REMIND i=steward-5 ctx=1 time_s=8.6000\nFINISHED seq=4\n");
--- a/crates/steward/src/lib.rs
+++ b/crates/steward/src/lib.rs
@@ -1,7 +1,7 @@
-//! The interface of the steward: what its host (a program, or the drill) hands in and gets back.
+//! The interface between a steward and its host (a program, or the drill): inputs, orders and settings.
 //!
-//! All decisions are in [`rebalance`]. A host maps outside ids to small indices with [`IdTable`], calls one
-//! input method of [`Steward`] for each thing it learns, then pulls [`Order`]s until there is none.
+//! All decisions are in [`rebalance`]. A host maps external ids to small indices with [`IdTable`], calls one
+//! input method of [`Steward`] for each event, then takes [`Order`]s until there are none.
 
 mod rebalance;
 
@@ -11,20 +11,21 @@
 
 pub use rebalance::Steward;
 
-/// A time or a span, in whole tenths of a millisecond.
+/// A point in time or a duration, in units of 0.1 ms.
 pub type Time = i64;
 
+/// One second as a [`Time`].
 pub const SECOND: Time = 10_000;
 
-/// The weight of every line that a grant sets. Proxies take one below it for open to reads alone.
+/// The weight of every line that a grant sets. Proxies treat a line with a lower weight as read-only.
 pub const WHOLE: f64 = 1.0;
 
-/// Seconds as they stand in settings and messages, as a [`Time`].
+/// Converts seconds, the unit of settings and messages, to a [`Time`].
 pub fn from_seconds(seconds: f64) -> Time {
     (seconds * SECOND as f64).round() as Time
 }
 
-/// What discovery says of a server.
+/// The state of a server in the list from discovery.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Health {
     Ready,
@@ -33,73 +34,59 @@
     Gone,
 }
 
-/// How much of the server list a change brings.
+/// The extent of a server list that is handed in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// Just the changed entries.
+    /// Only the changed entries.
     Changes,
     /// The complete list.
     Whole,
-    /// The complete list as last seen before a restart.
+    /// The complete list as it was stored before a restart; newer servers may be missing.
     Kept,
 }
 
-/// One thing that the host is to carry out. Servers, slices and proxies are indices.
+/// An action for the host to carry out. Servers and slices are indices.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
-    /// Grants a slice.
-    SetLine {
-        slice: usize,
-        server: usize,
-    },
-    DropLines {
-        slice: usize,
-    },
-    /// The share of some request kinds (a bit each) let in; all slices where `slice` is `None`.
-    Level {
-        slice: Option<usize>,
-        kinds: u32,
-        share: f64,
-    },
-    Withdraw {
-        server: usize,
-        out: bool,
-    },
-    /// Ask every joined proxy to answer with this number.
-    Stamp {
-        number: u16,
-    },
-    /// Subscribe to the changes of the server list.
+    /// Grants a slice to a server.
+    SetLine { slice: usize, server: usize },
+    /// Revokes a slice from its server.
+    DropLines { slice: usize },
+    /// Sets the admitted share of the request kinds in the `kinds` bit mask, for all slices if `slice` is `None`.
+    Level { slice: Option<usize>, kinds: u32, share: f64 },
+    /// Takes a server out of the proxies' tables (`out`) or puts it back.
+    Withdraw { server: usize, out: bool },
+    /// Asks every joined proxy to answer with this number: the mark at the end of an update.
+    Stamp { number: u16 },
+    /// Subscribes to changes of the server list.
     Watch,
-    /// Call again at this time.
-    Remind {
-        at: Time,
-    },
+    /// Requests a call of [`Steward::reminder`] at this time.
+    Remind { at: Time },
 }
 
-/// Lines that the ledger takes to wait in the channel to the proxies.
+/// Estimate of the lines that wait in the channel to the proxies.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Waiting {
-    /// Lines of all proxies together.
+    /// Number of lines, summed over all proxies.
     pub lines: f64,
-    /// When the oldest of them were written.
+    /// Time at which the oldest of them was written.
     pub since: Option<Time>,
 }
 
-/// What the ledger says of orders that go out once more.
+/// Permission to re-send orders, see [`Steward::repeat`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Repeat {
-    /// How many orders may go, the mark among them.
+    /// Number of orders that may be sent, including the mark.
     pub orders: usize,
-    /// The mark to end them with: answers to an earlier message are none to this one.
+    /// The mark to end them with; answers to earlier messages carry a different one.
     pub number: u16,
 }
 
-/// The settings of a deployment: a plain map of names to values, and what of them changes while a steward runs.
+/// The settings of a deployment: values by name, and the numbers that may change while a steward runs.
 #[derive(Clone, Debug, Default)]
 pub struct Settings(HashMap<String, String>, Vec<(String, Live)>);
 
-/// A number that all copies of some settings have together, and that may change between two turns.
+/// A number shared by all clones, so that a setting can change between two updates.
 #[derive(Clone, Debug, Default)]
 pub struct Live(Arc<AtomicU64>);
 
@@ -122,7 +109,7 @@
         self.0.insert(name.to_owned(), value.to_owned());
     }
 
-    /// This setting is a number that changes from now on.
+    /// Makes a setting a number that may change at run time. It takes precedence over a fixed value.
     pub fn set_live(&mut self, name: &str, live: Live) {
         self.1.retain(|(known, _)| known != name);
         self.1.push((name.to_owned(), live));
@@ -147,7 +134,7 @@
         matches!(self.text(name), Some("true" | "1"))
     }
 
-    /// The request kinds by name, in their order.
+    /// Returns the names of the request kinds, in their configured order.
     pub fn kinds(&self) -> IdTable<String> {
         let mut kinds = IdTable::default();
         for k in 0..self.number("classes.count").unwrap_or(0.0).clamp(0.0, 31.0) as usize {
@@ -156,18 +143,18 @@
         kinds
     }
 
-    /// Slices of all stewards together.
+    /// Returns the number of slices of all stewards together.
     pub fn slices(&self) -> usize {
         self.number("family_info.ranges").unwrap_or(0.0) as usize
     }
 }
 
-/// Maps outside ids to small indices, in the order in which they are first met.
+/// Maps external ids to small indices, assigned in order of first use.
 #[derive(Clone, Debug)]
 pub struct IdTable<K> {
     index: HashMap<K, usize>,
     ids: Vec<Option<K>>,
-    /// Indices let go of, to be given to the next ids.
+    /// Released indices, which the next new ids reuse.
     free: Vec<usize>,
 }
 
@@ -178,6 +165,7 @@
 }
 
 impl<K: Clone + Eq + std::hash::Hash> IdTable<K> {
+    /// Returns the index of an id and assigns one if it has none.
     pub fn index(&mut self, id: &K) -> usize {
         if let Some(&known) = self.index.get(id) {
             return known;
@@ -197,7 +185,7 @@
         self.ids.get(index)?.as_ref()
     }
 
-    /// Lets an index go, which nothing may name any more.
+    /// Releases an index for reuse. Nothing may refer to it any more.
     pub fn release(&mut self, index: usize) {
         if let Some(id) = self.ids.get_mut(index).and_then(Option::take) {
             self.index.remove(&id);
--- a/crates/steward/src/rebalance.rs
+++ b/crates/steward/src/rebalance.rs
@@ -1,8 +1,8 @@
 //! The decisions of a steward: which server owns each slice, and how a slice moves.
 //!
-//! The host builds a [`Steward`] with its settings, calls one input method for each thing it learns (these
-//! only update what is known), then pulls [`Order`]s with [`Steward::next_order`] until there is none. Types,
-//! settings and id tables are in `lib.rs`; `docs/design.md` tells when exceptions act.
+//! The host builds a [`Steward`] with its settings, calls one input method for each event (these only update
+//! state), then takes [`Order`]s from [`Steward::next_order`] until there are none. Types, settings and id tables
+//! are in `lib.rs`; `docs/design.md` lists when the exceptions apply.
 
 mod admission;
 mod channel;
@@ -16,21 +16,22 @@
 use std::collections::VecDeque;
 
 use crate::{Health, Order, Settings, Time, SECOND};
-use channel::{ChannelEvidence, Missed, Turn};
-use state::{Proxy, Server, Slice, State, KINDS};
+use channel::{ChannelEvidence, MissedAnswers, Update};
+use state::{Proxy, Server, Slice, State, MAX_KINDS};
 
-/// Good tries that took more than this part of the response target came late: a server is filling up before it misses it.
-const LATE: f64 = 0.4;
+/// Successful tries count as late beyond this share of the response target, as a server fills up before it misses it.
+const LATE_SHARE: f64 = 0.4;
 
-/// The share of its cores at which a server counts as busy.
-const BUSY: f64 = 0.85;
+/// CPU utilization from which on a server counts as busy.
+const BUSY_UTILIZATION: f64 = 0.85;
 
-/// How long a server counts as full after it was last busy or late.
-const STRAIN_LASTS: Time = 6 * SECOND;
+/// How long a server counts as strained after it was last busy or late.
+const STRAIN_DURATION: Time = 6 * SECOND;
 
-/// What reqs with keys that are new to a server cost it; the gain from met keys is about a third to a half.
-const NEW_KEYS: f64 = 1.5;
+/// Relative cost of reqs whose keys are new to a server; keys it has seen save about a third to a half.
+const NEW_KEYS_COST: f64 = 1.5;
 
+/// One steward: its view of servers, proxies and slices, and the orders that follow from it.
 #[derive(Default)]
 pub struct Steward {
     cfg: Settings,
@@ -38,83 +39,92 @@
     servers: Vec<Server>,
     proxies: Vec<Proxy>,
     slices: Vec<Slice>,
-    turns: VecDeque<Turn>,
+    /// Updates within the window of the channel budget, oldest first.
+    updates: VecDeque<Update>,
+    /// The mark of the latest update.
     mark: u64,
-    /// Answers that may never be heard, since the store's news were interrupted.
-    missed: Option<Missed>,
-    /// The store's news are interrupted: proxies may have joined unheard.
-    interrupted: bool,
-    /// The store's news as far as they show what the channel holds.
+    /// Answers that may never be received, e.g. because the store's notifications were interrupted.
+    missed_answers: Option<MissedAnswers>,
+    /// The store's notifications are interrupted: proxies may join without one.
+    notifications_interrupted: bool,
+    /// What the store's notifications show of the channel's contents.
     evidence: ChannelEvidence,
-    out: VecDeque<Order>,
-    news: bool,
-    /// What comes for the slices is to be worked out anew.
-    reported: bool,
+    pending_orders: VecDeque<Order>,
+    /// An input has arrived since the last decision.
+    decision_due: bool,
+    /// The request rates of the slices have to be recomputed.
+    rates_outdated: bool,
     now: Time,
-    /// A cold server is let in much too much: the next turn can't wait.
-    hurry: bool,
-    started: Time,
-    wake: Time,
-    tick: Time,
-    /// When levels were last written.
-    leveled: Time,
-    heard: Time,
-    /// Reqs a second that usually come, to all slices of all stewards.
-    baseline: f64,
-    /// Reqs a second that an average server gets done, and slices of this steward for each ready server.
-    full: f64,
-    balanced_share: usize,
-    /// From the settings: the request kinds, dearest credit first, and the mean response target.
+    /// A cold server gets far too many requests: the next update ignores the minimum interval.
+    urgent_update: bool,
+    started_at: Time,
+    next_wake: Time,
+    last_tick_at: Time,
+    /// Time of the last change of a level.
+    levels_written_at: Time,
+    /// Time of the last traffic report.
+    last_report_at: Time,
+    /// Usual request rate (reqs per second) of all slices of all stewards.
+    baseline_rate: f64,
+    /// Reqs per second that an average server completes.
+    average_server_capacity: f64,
+    /// Slices of this steward per ready server, rounded down.
+    balanced_slice_count: usize,
+    /// The request kinds, highest credit first.
     kinds: Vec<usize>,
-    target: f64,
-    /// The most reqs a second that a server got done on average, over any tick so far.
-    done: f64,
-    watching: bool,
-    ask_at: Time,
+    /// The mean response target of the request kinds.
+    mean_response_target: f64,
+    /// Highest average of completed reqs per second and ready server in any report window so far.
+    peak_completed_rate: f64,
+    /// Changes of the server list arrive without another request.
+    list_subscribed: bool,
+    /// When the list is requested next if it isn't subscribed.
+    next_subscribe_at: Time,
 }
 
 impl Server {
-    /// It was busy or late just before: failures say that it is full.
-    fn jammed(&self, now: Time) -> bool {
-        now - self.strained < STRAIN_LASTS
+    /// Returns true if it was busy or late within [`STRAIN_DURATION`]: failures then mean that it is full.
+    fn recently_strained(&self, now: Time) -> bool {
+        now - self.last_strained_at < STRAIN_DURATION
     }
 }
 
 impl Slice {
-    /// Every write of its former owner is over, and what the store has of it is known.
+    /// Returns true once all writes of the former owner are over and the store's line for it is known.
     fn may_be_granted(&self, now: Time) -> bool {
-        !self.awaits_line && matches!(self.state, State::Settling { until } if now >= until)
+        !self.line_pending && matches!(self.state, State::Settling { until } if now >= until)
     }
 }
 
 impl Steward {
-    /// Fails with the name of a setting that it can't do without.
+    /// Creates a steward, or returns the name of a required setting that is missing.
     pub fn new(now: Time, seed: u64, cfg: Settings) -> Result<Steward, &'static str> {
         let slices = cfg.number("family_info.ranges").ok_or("family_info.ranges")? as usize;
-        let needed = ["family_info.write_lease_s", "family_info.settle_s", "family_info.channel_rate"];
-        if let Some(name) = needed.into_iter().find(|name| slices > 0 && cfg.time(name).is_none()) {
+        let required = ["family_info.write_lease_s", "family_info.settle_s", "family_info.channel_rate"];
+        if let Some(name) = required.into_iter().find(|name| slices > 0 && cfg.time(name).is_none()) {
             return Err(name);
         }
-        let kinds = cfg.number("classes.count").unwrap_or(0.0).clamp(0.0, KINDS as f64) as usize;
-        let aim = |k: usize| cfg.time(&format!("classes.{k}.aim_s")).unwrap_or(SECOND);
-        let target = (0..kinds).map(aim).sum::<Time>().max(1) as f64 / kinds.max(1) as f64;
+        let kinds = cfg.number("classes.count").unwrap_or(0.0).clamp(0.0, MAX_KINDS as f64) as usize;
+        let response_target = |k: usize| cfg.time(&format!("classes.{k}.aim_s")).unwrap_or(SECOND);
+        let mean_response_target =
+            (0..kinds).map(response_target).sum::<Time>().max(1) as f64 / kinds.max(1) as f64;
         let credit = |k: usize| cfg.number(&format!("classes.{k}.worth")).unwrap_or(1.0);
         let mut kinds: Vec<usize> = (0..kinds).collect();
         kinds.sort_by(|&a, &b| credit(b).total_cmp(&credit(a)));
         let mut steward = Steward {
             kinds,
-            target,
+            mean_response_target,
             rng: fastrand::Rng::with_seed(seed),
             slices: vec![Slice::new(); slices.min(65_535)],
-            news: true,
+            decision_due: true,
             now,
-            started: now,
-            wake: now,
-            tick: now,
-            leveled: now,
-            heard: now,
-            watching: cfg.text("discovery") != Some("on_request"),
-            ask_at: now,
+            started_at: now,
+            next_wake: now,
+            last_tick_at: now,
+            levels_written_at: now,
+            last_report_at: now,
+            list_subscribed: cfg.text("discovery") != Some("on_request"),
+            next_subscribe_at: now,
             cfg,
             ..Steward::default()
         };
@@ -136,105 +146,110 @@
 
     fn proxy(&mut self, proxy: usize) -> &mut Proxy {
         if self.proxies.len() <= proxy {
-            self.proxies.resize(proxy + 1, Proxy { down: self.started, ..Proxy::default() });
+            self.proxies.resize(proxy + 1, Proxy { disconnected_at: self.started_at, ..Proxy::default() });
         }
         &mut self.proxies[proxy]
     }
 
-    /// The next thing to carry out, or none for now.
+    /// Returns the next order to carry out, or `None` if there is none for now.
     pub fn next_order(&mut self, now: Time) -> Option<Order> {
-        if self.out.is_empty() && self.news {
-            self.news = false;
+        if self.pending_orders.is_empty() && self.decision_due {
+            self.decision_due = false;
             self.decide(now);
         }
-        self.out.pop_front()
+        self.pending_orders.pop_front()
     }
 
-    /// As [`Steward::next_order`], for a host that is not sure of all that stands, or of its last orders. What only
-    /// takes away is safe whatever turns out to stand: slices leave servers that drain or are gone. Nothing else is decided;
-    /// a hand-over goes on with the next full decision.
+    /// Like [`Steward::next_order`], for a host that is unsure of the store's current state or of the outcome of its
+    /// last orders. Revokes are safe in any state, so slices leave servers that drain or are gone. Nothing else is decided;
+    /// hand-overs continue with the next full decision.
     pub fn next_restriction(&mut self, now: Time) -> Option<Order> {
-        if self.out.is_empty() && self.is_restriction_due() {
-            self.tally(now);
-            self.out = self.turn(now, true).into();
+        if self.pending_orders.is_empty() && self.is_restriction_due() {
+            self.update_totals(now);
+            self.pending_orders = self.build_update(now, true).into();
         }
-        self.out.pop_front()
+        self.pending_orders.pop_front()
     }
 
     fn decide(&mut self, now: Time) {
-        // Deadlines (leases, settling, the ledger's window) are looked at this often.
-        const BEAT: Time = SECOND / 10;
-        if now >= self.wake {
-            (self.wake, self.reported) = (now + BEAT, true);
-            self.out.push_back(Order::Remind { at: self.wake });
+        // Interval at which deadlines (leases, settling, the window of the channel budget) are checked.
+        const DECISION_INTERVAL: Time = SECOND / 10;
+        if now >= self.next_wake {
+            (self.next_wake, self.rates_outdated) = (now + DECISION_INTERVAL, true);
+            self.pending_orders.push_back(Order::Remind { at: self.next_wake });
         }
-        if !self.watching && now >= self.ask_at {
-            self.out.push_back(Order::Watch);
-            // Unless answered by then it asks once more.
-            self.ask_at = now + self.cfg.time("safety.ask_within_s").unwrap_or(10 * SECOND);
+        if !self.list_subscribed && now >= self.next_subscribe_at {
+            self.pending_orders.push_back(Order::Watch);
+            // Requested again if there is no answer by then.
+            self.next_subscribe_at = now + self.cfg.time("safety.ask_within_s").unwrap_or(10 * SECOND);
         }
-        self.tally(now);
-        self.suspect(now);
-        self.settle(now);
-        let orders = self.turn(now, false);
-        self.out.extend(orders);
+        self.update_totals(now);
+        self.update_suspicion(now);
+        self.settle_handoffs(now);
+        let orders = self.build_update(now, false);
+        self.pending_orders.extend(orders);
     }
 
     fn ready(&self) -> impl Iterator<Item = usize> + '_ {
         (0..self.servers.len()).filter(|&server| self.servers[server].health == Health::Ready)
     }
 
-    /// The guide's strategy tick.
+    /// The interval of rebalancing decisions, from the guide.
     const TICK: Time = 2 * SECOND;
 
-    /// All changes of one moment, gathered into one message a proxy; the ledger decides whether and how much.
-    /// `restrict`: only what takes away, see [`Steward::next_restriction`].
-    fn turn(&mut self, now: Time, restrict: bool) -> Vec<Order> {
-        let (leaving, lost) = if restrict {
+    /// Collects all pending changes into one update, a message to each proxy, as far as the channel budget allows.
+    /// With `restrict` it contains revokes and withdrawals only, see [`Steward::next_restriction`].
+    fn build_update(&mut self, now: Time, restrict: bool) -> Vec<Order> {
+        let (leaving, urgent) = if restrict {
             let owed: Vec<usize> = self.owed().collect();
-            let lost = owed.len();
-            (owed, lost)
+            let urgent = owed.len();
+            (owed, urgent)
         } else {
-            self.leaving(now)
+            self.slices_to_move(now)
         };
-        let leavers = self.leavers();
-        let overloads = if restrict { Vec::new() } else { self.overloads() };
-        self.hurry |= !overloads.is_empty();
-        let (room, rest) = self.room(now, lost + leavers.len() + overloads.len());
-        let rest = if restrict { 0 } else { rest };
+        let withdrawal_changes = self.withdrawal_changes();
+        let overloaded_cold_slices = if restrict { Vec::new() } else { self.overloaded_cold_slices() };
+        self.urgent_update |= !overloaded_cold_slices.is_empty();
+        let (available, ordinary) =
+            self.available_lines(now, urgent + withdrawal_changes.len() + overloaded_cold_slices.len());
+        let ordinary = if restrict { 0 } else { ordinary };
         let mut orders = Vec::new();
-        if room == 0 {
+        if available == 0 {
             return orders;
         }
         let mark = self.mark + 1;
-        // What can't wait may use the whole room, all else only what is left of the ordinary one.
-        for slice in leaving.into_iter().take(room.min(lost).max(rest / 2)) {
-            self.slices[slice].state = State::HandingOff { mark, waiting: (0..self.proxies.len()).collect() };
+        // Urgent lines may use all available lines, others only what is left of the ordinary share.
+        for slice in leaving.into_iter().take(available.min(urgent).max(ordinary / 2)) {
+            self.slices[slice].state =
+                State::HandingOff { mark, awaited_proxies: (0..self.proxies.len()).collect() };
             orders.push(Order::DropLines { slice });
         }
-        for slice in overloads.into_iter().take(room.saturating_sub(orders.len()) / self.kinds.len().max(1)) {
-            self.set_levels(now, slice, &self.wanted(slice), &mut orders);
+        for slice in overloaded_cold_slices
+            .into_iter()
+            .take(available.saturating_sub(orders.len()) / self.kinds.len().max(1))
+        {
+            self.set_levels(now, slice, &self.wanted_levels(slice), &mut orders);
         }
         if !restrict {
-            self.grants_and_levels(now, rest, &mut orders);
+            self.grants_and_levels(now, ordinary, &mut orders);
         }
-        for server in leavers {
+        for server in withdrawal_changes {
             let entry = &mut self.servers[server];
             entry.withdrawn = !entry.withdrawn;
             orders.push(Order::Withdraw { server, out: entry.withdrawn });
         }
-        if !orders.is_empty() || !restrict && self.is_mark_due(rest) {
+        if !orders.is_empty() || !restrict && self.is_mark_due(ordinary) {
             self.mark = mark;
-            self.hurry = false;
+            self.urgent_update = false;
             orders.push(Order::Stamp { number: (mark % 65_536) as u16 });
-            self.write_turn(now, self.head() + orders.len() as f64);
+            self.record_update(now, self.message_overhead() + orders.len() as f64);
         }
         orders
     }
 
-    /// Servers to withdraw or to let in again. Standing tables are the proxies' own: a steward only sees to it that nothing
-    /// goes to what left.
-    fn leavers(&self) -> Vec<usize> {
+    /// Returns the servers to withdraw or to put back, in a deployment without slices. The proxies keep their own tables
+    /// there; a steward only ensures that nothing is sent to servers that have left.
+    fn withdrawal_changes(&self) -> Vec<usize> {
         if !self.slices.is_empty() || self.ready().next().is_none() {
             return Vec::new();
         }
@@ -242,20 +257,20 @@
         (0..self.servers.len()).filter(|&server| leaves(&self.servers[server])).collect()
     }
 
-    /// Slices that have settled go to their new owners first, as a full channel starved late ones, and then levels change.
-    fn grants_and_levels(&mut self, now: Time, room: usize, orders: &mut Vec<Order>) {
+    /// Grants settled slices first, as a full channel starved them when they came last, and then changes levels.
+    fn grants_and_levels(&mut self, now: Time, available: usize, orders: &mut Vec<Order>) {
         let (settled, owned): (Vec<usize>, Vec<usize>) = (0..self.slices.len())
             .filter(|&slice| self.slices[slice].owner().is_some() || self.slices[slice].may_be_granted(now))
             .partition(|&slice| self.slices[slice].owner().is_none());
         for slice in settled.into_iter().chain(owned) {
-            if orders.len() + 2 + self.kinds.len() > room {
+            if orders.len() + 2 + self.kinds.len() > available {
                 return;
             }
             if self.slices[slice].owner().is_none() {
                 self.grant(now, slice, orders);
                 continue;
             }
-            let wanted = self.wanted(slice);
+            let wanted = self.wanted_levels(slice);
             if self.are_levels_due(now, slice, &wanted) || !orders.is_empty() {
                 self.set_levels(now, slice, &wanted, orders);
             }
@@ -263,45 +278,46 @@
     }
 
     fn grant(&mut self, now: Time, slice: usize, orders: &mut Vec<Order>) {
-        let Some(server) = self.fewest(now, slice) else { return };
-        let brings = self.rate_once_granted(server, slice);
+        let Some(server) = self.choose_server(now, slice) else { return };
+        let added_rate = self.rate_once_granted(server, slice);
         let entry = &mut self.servers[server];
-        (entry.granted, entry.held, entry.load) = (now, entry.held + 1, entry.load + brings);
-        self.servers[server].level = self.servers[server].level.min(self.cap(server));
+        (entry.last_grant_at, entry.held_slices, entry.load) =
+            (now, entry.held_slices + 1, entry.load + added_rate);
+        self.servers[server].level = self.servers[server].level.min(self.budget_level(server));
         self.slices[slice].state = State::Owned { server, stopped: false };
-        self.slices[slice].levels = [1.0; KINDS];
+        self.slices[slice].levels = [1.0; MAX_KINDS];
         orders.push(Order::SetLine { slice, server });
-        // Guards a cold server against what proxies held while the slice had no owner: a level of 0
-        // stops that, and the next turn opens.
-        let is_cold = self.servers[server].present < 1.0;
-        let wanted = if is_cold { [0.0; KINDS] } else { self.wanted(slice) };
+        // Protects a cold server from the requests that proxies held back while the slice had no owner: a level
+        // of 0 stops them, and the next update opens it.
+        let is_cold = self.servers[server].warm_share < 1.0;
+        let wanted = if is_cold { [0.0; MAX_KINDS] } else { self.wanted_levels(slice) };
         self.set_levels(now, slice, &wanted, orders);
     }
 
-    /// Guards the channel: levels alone cost a head at each proxy, so they wait for a tick or a turn that goes anyway, unless
-    /// they open a kind or keep a cold server from too much.
-    fn are_levels_due(&self, now: Time, slice: usize, wanted: &[f64; KINDS]) -> bool {
+    /// Returns true if new levels are worth an update of their own, which costs a message header at each proxy. Otherwise
+    /// they wait for a tick or for an update that is sent anyway, unless they open a kind or protect a cold server.
+    fn are_levels_due(&self, now: Time, slice: usize, wanted: &[f64; MAX_KINDS]) -> bool {
         let entry = &self.slices[slice];
-        let opens = (0..KINDS).any(|kind| wanted[kind] > 0.0 && entry.levels[kind] <= 0.0);
-        let is_cold = entry.owner().is_some_and(|server| self.servers[server].present < 1.0);
-        now - self.leveled >= Self::TICK || is_cold || opens || self.hurry
+        let opens = (0..MAX_KINDS).any(|kind| wanted[kind] > 0.0 && entry.levels[kind] <= 0.0);
+        let is_cold = entry.owner().is_some_and(|server| self.servers[server].warm_share < 1.0);
+        now - self.levels_written_at >= Self::TICK || is_cold || opens || self.urgent_update
     }
 
-    fn set_levels(&mut self, now: Time, slice: usize, wanted: &[f64; KINDS], orders: &mut Vec<Order>) {
+    fn set_levels(&mut self, now: Time, slice: usize, wanted: &[f64; MAX_KINDS], orders: &mut Vec<Order>) {
         // Small changes would fill the channel.
-        const LEAST_CHANGE: f64 = 0.1;
+        const MIN_LEVEL_CHANGE: f64 = 0.1;
         let first = orders.len();
         for (kind, &share) in wanted.iter().enumerate().take(self.kinds.len()) {
             let change = (share - self.slices[slice].levels[kind]).abs();
             let is_all_or_nothing = change > 0.0 && (share <= 0.0 || share >= 1.0);
-            if change < LEAST_CHANGE && !is_all_or_nothing {
+            if change < MIN_LEVEL_CHANGE && !is_all_or_nothing {
                 continue;
             }
             self.slices[slice].levels[kind] = share;
-            self.leveled = now;
-            // One line serves all kinds that get the same share.
+            self.levels_written_at = now;
+            // One line covers all kinds with the same share.
             let same = orders[first..].iter_mut().find_map(|order| match order {
-                Order::Level { kinds, share: told, .. } if *told == share => Some(kinds),
+                Order::Level { kinds, share: ordered, .. } if *ordered == share => Some(kinds),
                 _ => None,
             });
             match same {
@@ -311,13 +327,15 @@
         }
     }
 
-    /// A proxy that rejoined with an answer still due gets a fresh mark; so does a channel that has to show what it holds.
-    fn is_mark_due(&self, rest: usize) -> bool {
+    /// Returns true if a proxy that still owes an answer has rejoined, or if the channel has to be probed.
+    fn is_mark_due(&self, ordinary: usize) -> bool {
         let is_due = |slice: &Slice| {
-            let State::HandingOff { mark, waiting } = &slice.state else { return false };
-            waiting.iter().any(|&proxy| self.proxies[proxy].joined && self.proxies[proxy].asked < *mark)
+            let State::HandingOff { mark, awaited_proxies } = &slice.state else { return false };
+            awaited_proxies
+                .iter()
+                .any(|&proxy| self.proxies[proxy].joined && self.proxies[proxy].asked_mark < *mark)
         };
-        rest == 0 && self.is_probe_due() || self.slices.iter().any(is_due)
+        ordinary == 0 && self.is_probe_due() || self.slices.iter().any(is_due)
     }
 }
 
--- a/crates/steward/src/rebalance/channel.rs
+++ b/crates/steward/src/rebalance/channel.rs
@@ -1,343 +1,348 @@
-//! The channel's budget: how many lines and messages a turn may write, by what the proxies have answered.
+//! The channel budget: how many lines and messages an update may write, given what the proxies have answered.
 //!
-//! Answers tell what still waits. Where a host may have missed some, the store's channel is one queue: messages leave it in
-//! the order in which they were written, so an answer to a later turn, whichever proxy gives it, shows that nothing of the
-//! earlier ones waits there any more.
+//! Answers show what still waits. Where the host may have missed some, the store's channel counts as one queue: messages
+//! leave it in the order in which they were written, so an answer to a later update, from any proxy, shows that no earlier
+//! update waits there any more.
 //!
-//! A proxy joins before this steward is told of it, and messages that are written meanwhile go to it as well. So every proxy
-//! counts as a receiver, joined or not, until the news show that it was not there: they tell of joinings and answers in their
-//! order, so when a mark is answered, whoever had joined before that mark was written has been told of.
+//! A proxy joins before this steward is notified of it, and receives messages that are written meanwhile. So every proxy
+//! counts as a receiver, joined or not, until the notifications show that it was absent: joins and answers are notified in
+//! order, so when a mark is answered, all proxies that joined before that mark was written have been reported.
 
 use super::state::{Proxy, State};
 use super::Steward;
 use crate::{Repeat, Time, Waiting, SECOND};
 
-/// One turn in the ledger: when, the lines it wrote to each proxy, and its mark.
-pub(super) struct Turn {
+/// An update in the channel budget: its time, the lines it wrote to each proxy, and its mark.
+pub(super) struct Update {
     pub at: Time,
     pub lines: f64,
     pub mark: u64,
 }
 
-/// Answers to marks up to one that may never be told: they were given while the store's news were interrupted, or the
-/// mark was never written.
-pub(super) struct Missed {
+/// Answers that may never be received, to marks up to this one: they were sent while the store's notifications were
+/// interrupted, or the mark was never written.
+pub(super) struct MissedAnswers {
     pub mark: u64,
-    /// When such an answer was last told, or could first have been.
-    pub quiet_since: Time,
+    /// When such an answer was last received, or could first have been.
+    pub idle_since: Time,
 }
 
-/// What the store's news show of the channel.
+/// What the store's notifications show of the channel.
 #[derive(Default)]
 pub(super) struct ChannelEvidence {
-    /// The highest mark that some proxy is told to have answered, with nothing missed before it.
-    pub answered: u64,
-    /// When that was first told.
+    /// The highest mark known to be answered by any proxy, with no notification missed before it.
+    pub answered_mark: u64,
+    /// When the first answer to it was received.
     answered_at: Time,
-    /// Messages up to this mark have left the channel, as it was quiet for long enough.
-    emptied: u64,
-    /// When an answer was last told, or could first have been.
-    quiet_since: Time,
-    /// When something of the news was last heard.
+    /// Messages up to this mark have left the channel, as it was idle for long enough.
+    cleared_mark: u64,
+    /// When an answer was last received, or could first have been.
+    idle_since: Time,
+    /// When a notification was last received.
     at: Time,
 }
 
-/// Signs of life come once a second: where nothing was heard for longer, answers may be late as well.
-const HEARD_AT_LEAST: Time = 15 * SECOND / 10;
+/// Heartbeats come once a second: after a longer gap between notifications, answers may be delayed too.
+const MAX_NOTIFICATION_GAP: Time = 15 * SECOND / 10;
 
-/// A channel sends up to so many times slower than the settings say, for a while (brief, 7.4).
-const SLOWEST: f64 = 5.0;
+/// Factor by which the channel may be slower than configured for a while (brief, 7.4).
+const MAX_SLOWDOWN: f64 = 5.0;
 
-/// The share of the lines that may wait which a message with lines that can't wait may fill.
+/// The share of the permitted waiting lines that an update with urgent lines may fill.
 const URGENT_SHARE: f64 = 0.9;
 
-/// The same for all other messages: leaves enough for a drain behind them to land within its grace.
+/// The same for other updates: leaves enough for a later drain to arrive within its grace period.
 const ORDINARY_SHARE: f64 = 0.65;
 
-/// The same for a probe, or for one line that can't wait in its place.
+/// The same for a probe, or for one urgent line in its place.
 const PROBE_SHARE: f64 = 1.0;
 
 impl Steward {
-    /// What the ledger takes to wait in the channel.
+    /// Returns an estimate of the lines that wait in the channel.
     pub fn waiting(&self) -> Waiting {
-        let turns = self.turns.iter().map(|turn| (turn.at, turn.lines * self.unanswered(turn.mark)));
-        let waiting = turns.filter(|(_, lines)| *lines > 0.0);
+        let updates =
+            self.updates.iter().map(|update| (update.at, update.lines * self.unanswered(update.mark)));
+        let waiting = updates.filter(|(_, lines)| *lines > 0.0);
         let all = waiting.fold(Waiting::default(), |sum, (at, lines)| Waiting {
             lines: sum.lines + lines,
             since: Some(sum.since.map_or(at, |since| since.min(at))),
         });
-        if self.interrupted || self.missed.is_some() {
-            Waiting { lines: all.lines.min(self.waiting_at_slowest()), ..all }
+        if self.notifications_interrupted || self.missed_answers.is_some() {
+            Waiting { lines: all.lines.min(self.max_waiting_lines()), ..all }
         } else {
             all
         }
     }
 
-    /// The most that can wait of what was written, by what is certain: a leaky bucket at the channel's slowest pace, from
-    /// when an answer last showed that nothing earlier waits. Where answers may be missed, there is nothing else to go by.
-    fn waiting_at_slowest(&self) -> f64 {
-        let pace = self.channel_rate() / SLOWEST / SECOND as f64;
+    /// Returns an upper bound of the waiting lines that needs no answers: a leaky bucket at the channel's slowest rate,
+    /// starting when an answer last showed that nothing earlier waits. Used where answers may be missed.
+    fn max_waiting_lines(&self) -> f64 {
+        let slowest_rate = self.channel_rate() / MAX_SLOWDOWN / SECOND as f64;
         let receivers = self.receivers();
-        let sent_by = |(level, at): (f64, Time), now: Time| (level - pace * (now - at) as f64).max(0.0);
-        let (answered, answered_at) = (self.evidence.answered, self.evidence.answered_at);
-        let may_wait = self.turns.iter().filter(|turn| turn.mark >= answered);
-        let written = may_wait.fold((0.0, answered_at), |before, turn| {
-            let at = turn.at.max(answered_at);
-            (sent_by(before, at) + turn.lines * receivers, at)
+        let remaining =
+            |(level, at): (f64, Time), now: Time| (level - slowest_rate * (now - at) as f64).max(0.0);
+        let (answered_mark, answered_at) = (self.evidence.answered_mark, self.evidence.answered_at);
+        let may_wait = self.updates.iter().filter(|update| update.mark >= answered_mark);
+        let written = may_wait.fold((0.0, answered_at), |before, update| {
+            let at = update.at.max(answered_at);
+            (remaining(before, at) + update.lines * receivers, at)
         });
-        sent_by(written, self.now)
+        remaining(written, self.now)
     }
 
-    /// Lines a second that the channel sends as a rule.
+    /// Returns the configured rate of the channel, in lines per second.
     fn channel_rate(&self) -> f64 {
         self.cfg.number("family_info.channel_rate").unwrap_or(1.0).max(1.0)
     }
 
-    /// Proxies for which a message with this mark may still wait.
+    /// Returns the number of proxies for which a message with this mark may still wait.
     pub(super) fn unanswered(&self, mark: u64) -> f64 {
-        let due = |proxy: &&Proxy| proxy.marked >= mark && self.empty_up_to(proxy) < mark;
+        let due = |proxy: &&Proxy| proxy.written_mark >= mark && self.cleared_up_to(proxy) < mark;
         self.proxies.iter().filter(due).count() as f64
     }
 
-    /// Nothing waits for a proxy of messages up to this mark: it has answered, or was not there when they were written, or
-    /// they have left the channel, if it was there.
-    fn empty_up_to(&self, proxy: &Proxy) -> u64 {
+    /// Returns the mark up to which no message waits for a proxy: it has answered, was absent when they were written, or
+    /// they have left the channel.
+    fn cleared_up_to(&self, proxy: &Proxy) -> u64 {
         let left = if proxy.joined {
-            let passed = self.evidence.answered.saturating_sub(1).max(self.evidence.emptied);
-            passed.min(proxy.maybe_before)
+            let passed = self.evidence.answered_mark.saturating_sub(1).max(self.evidence.cleared_mark);
+            passed.min(proxy.joined_at_mark)
         } else {
-            self.evidence.answered.max(self.evidence.emptied)
+            self.evidence.answered_mark.max(self.evidence.cleared_mark)
         };
-        left.max(proxy.empty).max(proxy.answered)
+        left.max(proxy.cleared_mark).max(proxy.answered_mark)
     }
 
-    /// Marks travel modulo 65536: the latest one with this number.
-    fn mark_of(&self, number: u16) -> u64 {
+    /// Returns the latest mark with this number; marks are sent modulo 65536.
+    fn latest_mark(&self, number: u16) -> u64 {
         self.mark.saturating_sub(self.mark.wrapping_sub(u64::from(number)) % 65_536)
     }
 
     /// A proxy has answered a mark.
     pub fn installed(&mut self, now: Time, proxy: usize, number: u16) {
-        self.news = true;
-        let mark = self.mark_of(number);
+        self.decision_due = true;
+        let mark = self.latest_mark(number);
         let entry = self.proxy(proxy);
-        entry.answered = entry.answered.max(mark);
-        self.evidence.quiet_since = now;
-        if !self.interrupted && mark > self.evidence.answered {
-            (self.evidence.answered, self.evidence.answered_at) = (mark, now);
+        entry.answered_mark = entry.answered_mark.max(mark);
+        self.evidence.idle_since = now;
+        if !self.notifications_interrupted && mark > self.evidence.answered_mark {
+            (self.evidence.answered_mark, self.evidence.answered_at) = (mark, now);
         }
-        match &mut self.missed {
-            Some(missed) if mark > missed.mark => self.forget_missed(),
-            Some(missed) => missed.quiet_since = now,
+        match &mut self.missed_answers {
+            Some(missed_answers) if mark > missed_answers.mark => self.discard_missed_answers(),
+            Some(missed_answers) => missed_answers.idle_since = now,
             None => {}
         }
     }
 
-    /// Nothing waits any more of what was written up to that mark. Whoever has not answered it won't: it is asked anew.
-    fn forget_missed(&mut self) {
-        let mark = self.missed.take().map_or(0, |missed| missed.mark);
-        self.turns.iter_mut().filter(|turn| turn.mark <= mark).for_each(|turn| turn.lines = 0.0);
-        let silent = self.proxies.iter_mut().filter(|proxy| proxy.answered < mark && proxy.asked <= mark);
-        silent.for_each(|proxy| proxy.asked = 0);
-        self.news = true;
+    /// Nothing written up to the missed mark waits any more. Proxies that have not answered it won't: they are sent a new mark.
+    fn discard_missed_answers(&mut self) {
+        let mark = self.missed_answers.take().map_or(0, |missed_answers| missed_answers.mark);
+        self.updates.iter_mut().filter(|update| update.mark <= mark).for_each(|update| update.lines = 0.0);
+        let overdue =
+            self.proxies.iter_mut().filter(|proxy| proxy.answered_mark < mark && proxy.asked_mark <= mark);
+        overdue.for_each(|proxy| proxy.asked_mark = 0);
+        self.decision_due = true;
     }
 
-    /// The store's news are interrupted: what proxies answer is not told, nor who joins.
+    /// The store's notifications are interrupted: answers and joins of proxies are not received.
     pub fn news_interrupted(&mut self) {
-        self.interrupted = true;
+        self.notifications_interrupted = true;
     }
 
-    /// The store's news go on, and tell whatever is answered from now on.
+    /// The store's notifications have resumed: answers are received from now on.
     pub fn news_resumed(&mut self, now: Time) {
-        (self.evidence.at, self.evidence.quiet_since) = (now, now);
-        self.missed = Some(Missed { mark: self.mark, quiet_since: now });
+        (self.evidence.at, self.evidence.idle_since) = (now, now);
+        self.missed_answers = Some(MissedAnswers { mark: self.mark, idle_since: now });
     }
 
-    /// Nobody knows whether the last orders were carried out: where they were not, nobody will answer them.
+    /// It is unknown whether the last orders were carried out; if not, no proxy will answer them.
     pub fn outcome_unknown(&mut self, now: Time) {
-        self.missed = Some(Missed { mark: self.mark, quiet_since: now });
+        self.missed_answers = Some(MissedAnswers { mark: self.mark, idle_since: now });
     }
 
-    /// The store has told who was joined at this time, after an interruption of its news. Whoever was not may have come
-    /// and left unheard until then, also one that was known to be away before: its lease runs from then at the latest.
+    /// After an interruption, the store has reported which proxies were joined at this time. Any other proxy, even one known
+    /// to be disconnected before, may have joined and left until then unnoticed: its lease runs from then at the latest.
     pub fn joined_told(&mut self, at: Time) {
-        self.interrupted = false;
+        self.notifications_interrupted = false;
         let away = self.proxies.iter_mut().filter(|proxy| !proxy.joined);
-        away.for_each(|proxy| proxy.down = proxy.down.max(at));
+        away.for_each(|proxy| proxy.disconnected_at = proxy.disconnected_at.max(at));
     }
 
-    /// Something of the store's news has been heard, so whatever was answered up to now has been told.
+    /// A notification of the store was received, so all answers up to now have been received too.
     pub fn news_heard(&mut self, now: Time) {
-        let was_silent = now - self.evidence.at >= HEARD_AT_LEAST;
+        let had_gap = now - self.evidence.at >= MAX_NOTIFICATION_GAP;
         self.evidence.at = now;
-        if was_silent {
-            // Guards against a silence, or a stop of this process, that is taken for a quiet channel: answers may follow.
-            self.evidence.quiet_since = now;
-            self.missed.iter_mut().for_each(|missed| missed.quiet_since = now);
+        if had_gap {
+            // A gap in the notifications, or a pause of this process, is no idle channel: answers may follow.
+            self.evidence.idle_since = now;
+            self.missed_answers.iter_mut().for_each(|missed_answers| missed_answers.idle_since = now);
         }
-        if self.missed.as_ref().is_some_and(|missed| self.has_emptied(missed, now)) {
-            self.forget_missed();
+        if self.missed_answers.as_ref().is_some_and(|missed_answers| self.has_emptied(missed_answers, now)) {
+            self.discard_missed_answers();
         }
-        self.notice_empty_channel(now);
+        self.detect_empty_channel(now);
     }
 
-    /// Messages that nobody may ever answer, as no proxy may have been there to receive them, have left the channel.
-    fn notice_empty_channel(&mut self, now: Time) {
-        let Some(last) = self.turns.back().filter(|turn| turn.mark > self.evidence.emptied) else { return };
-        let quiet_since = self.evidence.quiet_since.max(last.at);
-        let all = Missed { mark: last.mark, quiet_since };
+    /// Detects that messages have left the channel which may never be answered, as perhaps no proxy was there to receive them.
+    fn detect_empty_channel(&mut self, now: Time) {
+        let Some(last) = self.updates.back().filter(|update| update.mark > self.evidence.cleared_mark) else {
+            return;
+        };
+        let idle_since = self.evidence.idle_since.max(last.at);
+        let all = MissedAnswers { mark: last.mark, idle_since };
         if self.has_emptied(&all, now) {
-            self.evidence.emptied = all.mark;
+            self.evidence.cleared_mark = all.mark;
         }
     }
 
-    /// Whether nothing waits any more of what was written up to that mark. Guards against waiting for answers that can't
-    /// come. A channel that still held some of it would show that: at its
-    /// slowest, the longest message leaves it and is answered within the time looked at. So that proxies which answer
-    /// nothing at all don't look like an empty channel, it must also have had the time for all of it: at its slowest where
-    /// answers may be missed, as a probe tells sooner there, see [`Steward::is_probe_due`].
-    fn has_emptied(&self, missed: &Missed, now: Time) -> bool {
-        let before = || self.turns.iter().filter(|turn| turn.mark <= missed.mark);
-        let Some(last) = before().map(|turn| turn.at).max() else { return true };
-        let slowest = self.channel_rate() / SLOWEST;
+    /// Returns true if nothing written up to the missed mark waits any more, so as not to wait for answers that can't come.
+    /// A channel that still held some of it would show an answer: even at the slowest rate, the longest message is sent
+    /// and answered within the idle time required. So that proxies which answer nothing at all don't look like an empty
+    /// channel, the time must also suffice for all lines: at the slowest rate where answers may be missed, as a probe
+    /// shows it sooner there, see [`Steward::is_probe_due`].
+    fn has_emptied(&self, missed_answers: &MissedAnswers, now: Time) -> bool {
+        let before = || self.updates.iter().filter(|update| update.mark <= missed_answers.mark);
+        let Some(last) = before().map(|update| update.at).max() else { return true };
+        let slowest = self.channel_rate() / MAX_SLOWDOWN;
         let transit = self.cfg.time("family_info.transit_max_s").unwrap_or(SECOND);
-        let longest = before().map(|turn| turn.lines).fold(0.0, f64::max);
+        let longest = before().map(|update| update.lines).fold(0.0, f64::max);
         let span = |lines: f64, rate: f64| transit + crate::from_seconds(lines / rate);
-        let is_quiet = now - missed.quiet_since >= span(longest, slowest);
-        if !is_quiet {
+        let is_idle = now - missed_answers.idle_since >= span(longest, slowest);
+        if !is_idle {
             return false;
         }
-        let all: f64 = before().map(|turn| turn.lines * self.unanswered(turn.mark)).sum();
-        let rate = if self.missed.is_some() { slowest } else { self.channel_rate() };
+        let all: f64 = before().map(|update| update.lines * self.unanswered(update.mark)).sum();
+        let rate = if self.missed_answers.is_some() { slowest } else { self.channel_rate() };
         now - last >= span(all, rate)
     }
 
-    /// Whether a message would show what waits, with nothing in it but its mark if need be: answers may be missed,
-    /// messages count as waiting for them, and none was written since. An answer to it, whichever proxy gives it, shows
-    /// that the channel holds nothing earlier.
+    /// Returns true if a message, if need be with nothing but its mark, would show what waits: answers may be missed,
+    /// messages count as waiting because of that, and none was written since. An answer to it from any proxy shows that the
+    /// channel holds nothing earlier.
     pub(super) fn is_probe_due(&self) -> bool {
-        let Some(missed) = &self.missed else { return false };
-        let waits = |turn: &Turn| turn.lines > 0.0 && self.unanswered(turn.mark) > 0.0;
-        self.mark <= missed.mark && self.turns.iter().any(waits)
+        let Some(missed_answers) = &self.missed_answers else { return false };
+        let waits = |update: &Update| update.lines > 0.0 && self.unanswered(update.mark) > 0.0;
+        self.mark <= missed_answers.mark && self.updates.iter().any(waits)
     }
 
-    /// The last orders wait behind others that have to go out once more, and count when they are written.
+    /// Takes the last update out of the budget: its orders wait behind others that are re-sent, and count when written.
     pub fn uncount_last(&mut self) {
-        self.turns.pop_back();
+        self.updates.pop_back();
     }
 
-    /// The revoke of a slice goes out in the last message: its hand-over waits for answers to that one's mark. Guards
-    /// against answers to another part of a reply, or to an earlier sending that may not have been carried out.
+    /// The revoke of a slice was written in the last message: its hand-over waits for answers to that message's mark, not to
+    /// another part of a reply or to an earlier attempt that may not have been carried out.
     pub fn revoke_written(&mut self, slice: usize) {
         self.await_mark(slice, self.mark);
     }
 
-    /// The revoke of a slice was carried out under this mark, though it was written again since: answers to it count.
+    /// The revoke of a slice was carried out under this mark, even if it was written again since: answers to it count.
     pub fn revoke_proven(&mut self, slice: usize, number: u16) {
-        self.await_mark(slice, self.mark_of(number));
+        self.await_mark(slice, self.latest_mark(number));
     }
 
-    /// The revoke of a slice is to go out later than the last message: no answer so far is one to it.
+    /// The revoke of a slice will be written after the last message: no answer received so far counts for it.
     pub fn revoke_waits(&mut self, slice: usize) {
         const NOT_WRITTEN: u64 = u64::MAX;
         self.await_mark(slice, NOT_WRITTEN);
     }
 
-    fn await_mark(&mut self, slice: usize, awaited: u64) {
-        let everybody = (0..self.proxies.len()).collect();
-        if let Some(State::HandingOff { mark, waiting }) =
+    fn await_mark(&mut self, slice: usize, awaited_mark: u64) {
+        let all_proxies = (0..self.proxies.len()).collect();
+        if let Some(State::HandingOff { mark, awaited_proxies }) =
             self.slices.get_mut(slice).map(|entry| &mut entry.state)
         {
-            (*mark, *waiting) = (awaited, everybody);
+            (*mark, *awaited_proxies) = (awaited_mark, all_proxies);
         }
     }
 
-    /// Orders are to go out that no message is counted for, a mark among them: nobody knows whether they arrived, or they
-    /// waited behind such ones. How many of them the ledger has room for, which then count: all, or a part where that is
-    /// a good part of what an empty channel takes or a probe, or none. Guards the proxies' limits against a store that carries out
-    /// and does not answer.
+    /// Returns how many orders, including a mark, may be sent that are not in the budget: those whose outcome is unknown and
+    /// those that waited behind them. Counts them if so: all, or a part of them if that is a probe or a substantial part of
+    /// what an empty channel takes. Returns `None` if there is no capacity. This keeps the proxies' limits even if the store
+    /// carries out orders without answering.
     pub fn repeat(&mut self, now: Time, orders: usize) -> Option<Repeat> {
-        let probes = self.is_probe_due();
-        let room = self.room(now, orders).0;
-        let fits = orders.min(room);
-        let good_part = (self.empty_room(URGENT_SHARE) / 2.0).max(2.0) as usize;
-        let is_enough = fits >= orders.min(good_part) && fits >= orders.min(2);
-        let is_probe = probes && fits > 0;
+        let probe_due = self.is_probe_due();
+        let capacity = self.available_lines(now, orders).0;
+        let fits = orders.min(capacity);
+        let substantial_part = (self.empty_channel_capacity(URGENT_SHARE) / 2.0).max(2.0) as usize;
+        let is_enough = fits >= orders.min(substantial_part) && fits >= orders.min(2);
+        let is_probe = probe_due && fits > 0;
         if !is_enough && !is_probe {
             return None;
         }
         self.mark += 1;
-        self.write_turn(now, self.head() + fits as f64);
+        self.record_update(now, self.message_overhead() + fits as f64);
         Some(Repeat { orders: fits, number: (self.mark % 65_536) as u16 })
     }
 
-    /// A message goes to every joined proxy, under the present mark; and to those that have joined unheard.
-    pub(super) fn write_turn(&mut self, now: Time, lines: f64) {
+    /// Records an update under the current mark. It goes to every joined proxy, and to any whose joining is not yet known.
+    pub(super) fn record_update(&mut self, now: Time, lines: f64) {
         let mark = self.mark;
-        self.turns.push_back(Turn { at: now, lines, mark });
+        self.updates.push_back(Update { at: now, lines, mark });
         for proxy in &mut self.proxies {
-            proxy.marked = mark;
+            proxy.written_mark = mark;
             if proxy.joined {
-                proxy.asked = mark;
+                proxy.asked_mark = mark;
             }
         }
     }
 
-    /// Lines that a message costs on top of its own.
-    pub(super) fn head(&self) -> f64 {
+    /// Returns the fixed cost of a message, in lines.
+    pub(super) fn message_overhead(&self) -> f64 {
         self.cfg.number("family_info.fixed_cost").unwrap_or(0.0)
     }
 
-    /// Proxies that a message may go to: all there are, as any of them may have joined unheard.
+    /// Returns the number of proxies that may receive a message: all, as any of them may have joined without a notification yet.
     fn receivers(&self) -> f64 {
         self.proxies.len().max(1) as f64
     }
 
-    /// Lines a proxy that an empty channel takes in one message, of this share of what may wait.
-    fn empty_room(&self, share: f64) -> f64 {
+    /// Returns the lines per proxy that one message may have on an empty channel, for this share of the permitted waiting lines.
+    fn empty_channel_capacity(&self, share: f64) -> f64 {
         let most = self.cfg.number("family_info.pending_max").unwrap_or(f64::INFINITY);
-        let head = self.head() + 1.0;
-        (share * most / self.receivers() - head).min(65_535.0)
+        let header = self.message_overhead() + 1.0;
+        (share * most / self.receivers() - header).min(65_535.0)
     }
 
-    /// The one ledger: lines a proxy that a turn may write now, all told and of those that can wait. `urgent`
-    /// lines can't wait.
-    pub(super) fn room(&mut self, now: Time, urgent: usize) -> (usize, usize) {
+    /// Returns how many lines per proxy an update may have now, in total and as ordinary (non-urgent) lines.
+    /// `urgent` is the number of urgent lines. All writes to the channel go by this budget.
+    pub(super) fn available_lines(&mut self, now: Time, urgent: usize) -> (usize, usize) {
         self.now = now;
         let window = self.cfg.time("family_info.update_window_s").unwrap_or(10 * SECOND) + SECOND / 10;
-        while self.turns.front().is_some_and(|turn| now - turn.at >= window) {
-            self.turns.pop_front();
+        while self.updates.front().is_some_and(|update| now - update.at >= window) {
+            self.updates.pop_front();
         }
         let allowed = self.cfg.number("family_info.pushes_allowed").unwrap_or(0.0) as usize;
         if allowed > 0 {
-            // A quarter is kept for drains; both are spread so that a row of bursts can't use it up.
+            // A quarter is kept for drains; messages are spread so that a series of bursts can't use it up.
             let most = allowed - if urgent > 0 { 0 } else { allowed / 4 };
-            let gap = window * (2 * self.turns.len()).min(most) as Time / (most * most) as Time;
-            let spaced = self.hurry || self.turns.back().is_none_or(|turn| now - turn.at >= gap);
-            if self.turns.len() >= most || !spaced {
+            let gap = window * (2 * self.updates.len()).min(most) as Time / (most * most) as Time;
+            let spaced =
+                self.urgent_update || self.updates.back().is_none_or(|update| now - update.at >= gap);
+            if self.updates.len() >= most || !spaced {
                 return (0, 0);
             }
         }
         let waiting = self.waiting().lines / self.receivers();
-        let head = self.head() + 1.0;
-        // Guards against a full channel in which each line that leaves lets one line in, with a head at each
-        // proxy: it carried little but heads. Less than a head's worth waits, unless more never has room or
-        // less is all there is.
-        let room = |share: f64, wanted: f64| {
-            let empty = self.empty_room(share);
+        let header = self.message_overhead() + 1.0;
+        // In a full channel, each line that left admitted one line with a header at each proxy, so it carried
+        // little but headers. Less than a header's worth is not sent, unless more never fits or less is all there is.
+        let capacity = |share: f64, wanted: f64| {
+            let empty = self.empty_channel_capacity(share);
             let free = empty - waiting;
-            if free < wanted.min(head).min(empty / 2.0) {
+            if free < wanted.min(header).min(empty / 2.0) {
                 0
             } else {
                 free.clamp(0.0, 65_535.0) as usize
             }
         };
-        let rest = room(ORDINARY_SHARE, f64::INFINITY);
-        let all = if urgent > 0 { room(URGENT_SHARE, urgent as f64) } else { rest };
+        let ordinary = capacity(ORDINARY_SHARE, f64::INFINITY);
+        let all = if urgent > 0 { capacity(URGENT_SHARE, urgent as f64) } else { ordinary };
         if all == 0 && self.is_probe_due() {
-            let free = self.empty_room(PROBE_SHARE) - waiting;
+            let free = self.empty_channel_capacity(PROBE_SHARE) - waiting;
             return (usize::from(free >= 1.0), 0);
         }
-        (all, rest)
+        (all, ordinary)
     }
 }
--- a/crates/steward/src/rebalance/inputs.rs
+++ b/crates/steward/src/rebalance/inputs.rs
@@ -1,60 +1,64 @@
-//! What the host hands in: these only update what is known.
+//! Inputs from the host. They only update state; decisions follow with the next order.
 
-use super::state::{keep, Demand, Server, Slice, State, Tries, KINDS, UNKNOWN_LEVEL};
-use super::{Steward, BUSY, LATE};
+use super::state::{push_bounded, Demand, Server, Slice, State, TryReport, MAX_KINDS, UNKNOWN_LEVEL};
+use super::{Steward, BUSY_UTILIZATION, LATE_SHARE};
 use crate::{Health, Scope, Time, SECOND, WHOLE};
 
-/// Reports kept of a server: some seconds of them from every zone.
+/// Traffic reports kept per server: a few seconds of them from every zone.
 const TRAFFIC_SAMPLES: usize = 32;
 
-/// Reports kept of a slice: more than `rates` looks back on, at the shortest time between two.
+/// Demand reports kept per slice: more than `demand_rates` evaluates, even at the shortest report interval.
 const DEMAND_SAMPLES: usize = 16;
 
-/// From a list that could not be had to the next, and what chance adds: stewards that failed together come back apart.
+/// Delay before a failed list request is retried, and the random part added to it, so that stewards which failed
+/// together don't retry together.
 const LIST_RETRY: Time = SECOND / 4;
 const LIST_RETRY_SPREAD: Time = SECOND / 2;
 
 impl Steward {
-    /// The list follows, entry by entry; `list_end` closes it.
+    /// Starts a server list. Its entries follow with `list_entry`, and `list_end` closes it.
     pub fn list_begin(&mut self, scope: Scope) {
-        self.news = true;
-        // A server absent from a complete list is gone; those still there follow at once.
+        self.decision_due = true;
+        // A server absent from a complete list is gone; the others are marked as listed again by their entries.
         if scope != Scope::Changes {
             self.servers.iter_mut().for_each(|server| server.listed = false);
         }
     }
 
+    /// Adds an entry to the list that was started last.
     pub fn list_entry(&mut self, server: usize, health: Health, boot: Time) {
         let entry = self.server(server);
         (entry.seen, entry.listed) = (true, health != Health::Gone);
         if !entry.listed {
-            return; // closed by `list_end`, as are those that a whole list lacks
+            return; // `list_end` handles it, like servers absent from a complete list
         }
-        // A restart stops what the server held, whether or not the list ever showed it gone.
+        // A restarted server no longer serves its slices, even if no list showed it as gone.
         let restarted = boot > entry.boot && entry.health == Health::Ready;
-        (entry.missing, entry.health, entry.boot) = (false, health, boot.max(entry.boot));
+        (entry.presumed_ready, entry.health, entry.boot) = (false, health, boot.max(entry.boot));
         if restarted {
             let held = self.slices.iter_mut().filter(|slice| slice.owner() == Some(server));
             held.for_each(|slice| slice.state = State::Owned { server, stopped: true });
         }
     }
 
+    /// Closes a list and handles the servers that are not in it.
     pub fn list_end(&mut self, scope: Scope) {
         if scope == Scope::Kept {
-            return; // it may lack servers that have come since
+            return; // servers may have been added since
         }
-        self.watching = true;
-        let lax = self.cfg.flag("safety.only_draining_binds");
+        self.list_subscribed = true;
+        let only_draining_binds = self.cfg.flag("safety.only_draining_binds");
         for server in self.servers.iter_mut().filter(|server| !server.listed) {
-            server.missing = lax && server.health == Health::Ready;
-            server.health = if server.missing { Health::Ready } else { Health::Gone };
+            server.presumed_ready = only_draining_binds && server.health == Health::Ready;
+            server.health = if server.presumed_ready { Health::Ready } else { Health::Gone };
         }
     }
 
-    /// Lets go of a server, so that its index may become another's; not while anything names it.
+    /// Forgets a server so that its index can be reused. Returns false if the server is still present or referred to.
     pub fn forget(&mut self, server: usize) -> bool {
         let gone = |server: &Server| server.health == Health::Gone && !server.listed && !server.withdrawn;
-        let named = self.slices.iter().any(|slice| slice.owner() == Some(server)) || !self.out.is_empty();
+        let named =
+            self.slices.iter().any(|slice| slice.owner() == Some(server)) || !self.pending_orders.is_empty();
         let forgotten = !named && self.servers.get(server).is_none_or(gone);
         if forgotten {
             *self.server(server) = Server::new();
@@ -62,113 +66,119 @@
         forgotten
     }
 
+    /// The list could not be loaded: schedules a retry.
     pub fn list_failed(&mut self, now: Time) {
-        self.news = true;
-        self.watching = self.cfg.text("discovery") != Some("on_request");
-        self.ask_at = now + LIST_RETRY + self.rng.i64(0..LIST_RETRY_SPREAD);
+        self.decision_due = true;
+        self.list_subscribed = self.cfg.text("discovery") != Some("on_request");
+        self.next_subscribe_at = now + LIST_RETRY + self.rng.i64(0..LIST_RETRY_SPREAD);
     }
 
-    pub fn joined(&mut self, proxy: usize, baseline: f64) {
-        self.news = true;
-        let (mark, empty) = (self.mark, self.evidence.answered);
+    /// A proxy has joined. `baseline_rate` is the reqs per second that it usually gets, 0 if unknown.
+    pub fn joined(&mut self, proxy: usize, baseline_rate: f64) {
+        self.decision_due = true;
+        let (mark, cleared_mark) = (self.mark, self.evidence.answered_mark);
         let entry = self.proxy(proxy);
         if !entry.joined {
-            entry.empty = entry.empty.max(empty);
+            entry.cleared_mark = entry.cleared_mark.max(cleared_mark);
         }
         entry.joined = true;
-        entry.maybe_before = mark;
-        entry.asked = 0;
-        entry.baseline = baseline;
+        entry.joined_at_mark = mark;
+        entry.asked_mark = 0;
+        entry.baseline_rate = baseline_rate;
     }
 
+    /// The stream of a proxy broke at this time.
     pub fn stream_down(&mut self, now: Time, proxy: usize) {
-        self.news = true;
+        self.decision_due = true;
         let entry = self.proxy(proxy);
-        (entry.joined, entry.down) = (false, now);
+        (entry.joined, entry.disconnected_at) = (false, now);
     }
 
+    /// A slice was assigned to this steward.
     pub fn given(&mut self, now: Time, slice: usize) {
-        self.news = true;
-        // An empty record was mid-move under a steward before us: wait one lease, then let it settle.
+        self.decision_due = true;
+        // Without a line it was being moved by a previous steward: wait one lease, then let it settle.
         let until = now + self.time("family_info.write_lease_s") + self.time("family_info.settle_s");
         if let Some(entry) = self.slices.get_mut(slice) {
             let demand = std::mem::take(&mut entry.demand);
-            *entry = Slice { state: State::Settling { until }, given: now, demand, ..Slice::new() };
+            *entry = Slice { state: State::Settling { until }, assigned_at: now, demand, ..Slice::new() };
         }
     }
 
-    /// Whether the line of a slice just given may still be on its way. Until it is told, or is known to be none, the slice
-    /// is not granted.
+    /// Sets whether the line of a newly assigned slice may still arrive. The slice is not granted until its line is
+    /// received or known not to exist.
     pub fn awaits_line(&mut self, slice: usize, awaits: bool) {
-        self.news = true;
+        self.decision_due = true;
         if let Some(entry) = self.slices.get_mut(slice) {
-            entry.awaits_line = awaits;
+            entry.line_pending = awaits;
         }
     }
 
-    /// A slice that was just given may have been given before an order of this steward's for it was carried out, or
-    /// after: which line stands is unclear, so it is revoked, as from an owner that is gone.
+    /// It is unknown whether an order of this steward for a newly assigned slice was carried out before or after the
+    /// assignment, and so which line is current: the slice is revoked, as from an owner that is gone.
     pub fn line_unclear(&mut self, slice: usize) {
-        self.news = true;
+        self.decision_due = true;
         if let Some(entry) = self.slices.get_mut(slice) {
-            (entry.state, entry.awaits_line) = (State::Unclear, false);
+            (entry.state, entry.line_pending) = (State::LineUnknown, false);
         }
     }
 
-    /// A slice that was just given has no line, by somebody's revoke that this steward knows no answers to: every proxy
-    /// answers the next mark first, as after a revoke of its own.
+    /// A newly assigned slice has no line because of a revoke whose answers this steward has not received: as after a
+    /// revoke of its own, every proxy has to answer the next mark first.
     pub fn line_revoked_unanswered(&mut self, slice: usize) {
-        self.news = true;
-        let waiting = (0..self.proxies.len()).collect();
+        self.decision_due = true;
+        let awaited_proxies = (0..self.proxies.len()).collect();
         if let Some(entry) = self.slices.get_mut(slice) {
-            entry.state = State::HandingOff { mark: self.mark + 1, waiting };
+            entry.state = State::HandingOff { mark: self.mark + 1, awaited_proxies };
         }
     }
 
-    /// The levels of a slice may be those that were ordered, or the store has reset them.
+    /// The store may have reset the levels of a slice: they are all ordered again.
     pub fn levels_unclear(&mut self, slice: usize) {
-        self.news = true;
+        self.decision_due = true;
         if let Some(entry) = self.slices.get_mut(slice) {
-            entry.levels = [UNKNOWN_LEVEL; KINDS];
+            entry.levels = [UNKNOWN_LEVEL; MAX_KINDS];
         }
     }
 
-    /// The store may have taken a slice away and given it back as it was. Then proxies write by what they held for a lease from now,
-    /// and its levels are reset: what keeps requests out is ordered anew.
+    /// The store may have unassigned a slice and assigned it again unchanged. Proxies may then use their former tables for
+    /// one lease from now, and the levels may be reset: those that keep requests out are ordered again.
     pub fn may_be_given_anew(&mut self, now: Time, slice: usize) {
-        self.news = true;
+        self.decision_due = true;
         let Some(entry) = self.slices.get_mut(slice) else { return };
-        entry.given = now;
+        entry.assigned_at = now;
         let closed = entry.levels.iter_mut().filter(|level| **level < 1.0);
         closed.for_each(|level| *level = UNKNOWN_LEVEL);
     }
 
-    /// The store has this line of a slice just given.
+    /// The store has this line for a newly assigned slice.
     pub fn on_record(&mut self, now: Time, slice: usize, server: usize, weight: f64) {
-        self.news = true;
-        // A line below a whole was granted while the slice settled, for reads alone: it counts as nobody's.
+        self.decision_due = true;
+        // A line below full weight was granted for reads only while the slice settled: it gives no ownership.
         let is_whole = weight >= WHOLE;
         let entry = self.server(server);
-        (entry.start, entry.named) = (entry.start + usize::from(is_whole), now);
+        (entry.initial_slices, entry.last_recorded_at) = (entry.initial_slices + usize::from(is_whole), now);
         if !entry.seen {
-            (entry.missing, entry.health) = (true, Health::Ready);
+            (entry.presumed_ready, entry.health) = (true, Health::Ready);
         }
         if let Some(entry) = self.slices.get_mut(slice) {
-            entry.state = if is_whole { State::Owned { server, stopped: false } } else { State::Unclear };
+            entry.state = if is_whole { State::Owned { server, stopped: false } } else { State::LineUnknown };
         }
     }
 
+    /// A slice is no longer assigned to this steward.
     pub fn taken(&mut self, slice: usize) {
-        self.news = true;
+        self.decision_due = true;
         if let Some(entry) = self.slices.get_mut(slice) {
             let owner = entry.owner();
             entry.state = State::NotAssigned;
             if let Some(owner) = owner {
-                self.servers[owner].start = self.servers[owner].start.saturating_sub(1);
+                self.servers[owner].initial_slices = self.servers[owner].initial_slices.saturating_sub(1);
             }
         }
     }
 
+    /// A report of tries at a server: their number, how many failed, the mean response time and the CPU utilization.
     pub fn traffic(
         &mut self,
         now: Time,
@@ -178,26 +188,35 @@
         took: Time,
         util: Option<f64>,
     ) {
-        (self.news, self.heard) = (true, now);
-        let late = took as f64 > LATE * self.target;
+        (self.decision_due, self.last_report_at) = (true, now);
+        let late = took as f64 > LATE_SHARE * self.mean_response_target;
         let idle = self.time("limits.idle_close_s").max(1) as f64;
         let entry = self.server(server);
-        if late || util.is_some_and(|util| util >= BUSY) {
-            entry.strained = now;
-        }
-        (entry.kept, entry.met_at) =
-            (entry.kept * (-((now - entry.met_at) as f64) / idle).exp() + count - failed, now);
-        keep(&mut entry.tries, Tries { at: now, count, failed, took, util }, TRAFFIC_SAMPLES);
-    }
-
+        if late || util.is_some_and(|util| util >= BUSY_UTILIZATION) {
+            entry.last_strained_at = now;
+        }
+        (entry.kept_connections, entry.kept_connections_at) = (
+            entry.kept_connections * (-((now - entry.kept_connections_at) as f64) / idle).exp() + count
+                - failed,
+            now,
+        );
+        push_bounded(
+            &mut entry.try_reports,
+            TryReport { at: now, count, failed, took, util },
+            TRAFFIC_SAMPLES,
+        );
+    }
+
+    /// A report of the requests of one kind for a slice, counted over `window`.
     pub fn demand(&mut self, now: Time, slice: usize, kind: usize, count: f64, window: Time) {
-        (self.news, self.reported) = (true, true);
+        (self.decision_due, self.rates_outdated) = (true, true);
         if let Some(entry) = self.slices.get_mut(slice) {
-            keep(&mut entry.demand, Demand { at: now, kind, count, window }, DEMAND_SAMPLES);
+            push_bounded(&mut entry.demand, Demand { at: now, kind, count, window }, DEMAND_SAMPLES);
         }
     }
 
+    /// The time of an [`Order::Remind`](crate::Order::Remind) has come.
     pub fn reminder(&mut self) {
-        self.news = true;
+        self.decision_due = true;
     }
 }
--- a/crates/steward/src/rebalance/placement.rs
+++ b/crates/steward/src/rebalance/placement.rs
@@ -1,78 +1,92 @@
-//! Placement: the server that a slice goes to, and slices that go for balance.
+//! Placement: the server that a slice is granted to, and the slices that are moved for balance.
 
 use super::state::Server;
 use super::Steward;
 use crate::{Time, SECOND};
 
 impl Steward {
-    /// The server to grant a slice to: the one with the fewest slices of this steward among those fit for it.
-    pub(super) fn fewest(&self, now: Time, slice: usize) -> Option<usize> {
-        // A started server gets what its budget holds, and past that one slice a tick.
-        let warm = |server: usize| {
-            self.servers[server].present >= 1.0 || now - self.servers[server].granted >= Self::TICK
+    /// Chooses the server to grant a slice to: the one with the fewest slices of this steward among the suitable ones.
+    pub(super) fn choose_server(&self, now: Time, slice: usize) -> Option<usize> {
+        // A cold server gets slices within its budget, and beyond that one per tick.
+        let may_take_more = |server: usize| {
+            self.servers[server].warm_share >= 1.0 || now - self.servers[server].last_grant_at >= Self::TICK
         };
-        // Exception: a server that would have too much with it is passed over.
-        // A cold one holds no more than its present part of the slices, as slices that look idle may wake up.
-        let part = |server: &Server| {
-            server.present >= 1.0 || server.held as f64 <= server.present * self.balanced_share as f64
+        // Exception: a server that the slice would overload is skipped.
+        // A cold one holds no more than its warm share of the slices, as idle slices may become active.
+        let within_warm_share = |server: &Server| {
+            server.warm_share >= 1.0
+                || server.held_slices as f64 <= server.warm_share * self.balanced_slice_count as f64
         };
-        let able = |server: usize| self.share_with(server, slice) >= 1.0 && part(&self.servers[server]);
-        let pick = |fit: &dyn Fn(usize) -> bool| {
+        let has_capacity = |server: usize| {
+            self.admissible_share(server, slice) >= 1.0 && within_warm_share(&self.servers[server])
+        };
+        let pick = |eligible: &dyn Fn(usize) -> bool| {
             self.ready()
-                .filter(|&server| fit(server))
-                .min_by_key(|&server| (self.servers[server].held, server))
+                .filter(|&server| eligible(server))
+                .min_by_key(|&server| (self.servers[server].held_slices, server))
         };
-        // Never empties the fleet: a doubtful server is better than none.
-        pick(&|server| self.trusted(server, now) && !self.servers[server].degraded && able(server))
-            .or_else(|| pick(&|server| warm(server) && self.trusted(server, now)))
-            .or_else(|| pick(&warm))
+        // Falls back to less suitable servers: a suspected one is better than none.
+        pick(&|server| self.is_trusted(server, now) && !self.servers[server].degraded && has_capacity(server))
+            .or_else(|| pick(&|server| may_take_more(server) && self.is_trusted(server, now)))
+            .or_else(|| pick(&may_take_more))
             .or_else(|| pick(&|_| true))
     }
 
-    /// Each tick moves slices off servers that gained some, toward those below their start.
-    pub(super) fn imbalance(&self, now: Time) -> Vec<usize> {
-        const THRESHOLD: isize = 3;
-        const IN_FLIGHT: usize = 3;
-        // A slice serves nothing while it settles: within this time a move has to let in what it cost.
-        const PAYS_WITHIN: Time = 30 * SECOND;
-        let pays = 1.0 + self.time("family_info.settle_s") as f64 / PAYS_WITHIN as f64;
-        let moving =
+    /// Returns the slices to move at a tick, off overloaded servers and from servers above their initial count to others below.
+    pub(super) fn slices_to_rebalance(&self, now: Time) -> Vec<usize> {
+        const IMBALANCE_THRESHOLD: isize = 3;
+        const MAX_IN_FLIGHT: usize = 3;
+        // A slice serves nothing while it settles: within this time a move has to recover the lost requests.
+        const MOVE_PAYBACK: Time = 30 * SECOND;
+        let min_gain = 1.0 + self.time("family_info.settle_s") as f64 / MOVE_PAYBACK as f64;
+        let in_flight =
             self.slices.iter().filter(|slice| slice.is_assigned() && slice.owner().is_none()).count();
-        let gain = |server: usize| self.servers[server].held as isize - self.servers[server].start as isize;
-        let fit: Vec<usize> = self.ready().filter(|&server| self.trusted(server, now)).collect();
-        // Exception: after an enlargement each server that holds nothing may be getting a slice, and an
-        // eighth of a large fleet may: three at a time would take minutes. A quarter measured no better.
-        let empty = fit.iter().filter(|&&server| self.servers[server].held == 0).count();
-        let free = IN_FLIGHT.max(empty).max(fit.len() / 8).saturating_sub(moving);
-        let owned = |server: usize| {
+        let gained = |server: usize| {
+            self.servers[server].held_slices as isize - self.servers[server].initial_slices as isize
+        };
+        let eligible: Vec<usize> = self.ready().filter(|&server| self.is_trusted(server, now)).collect();
+        // Exception: after the fleet has grown, as many moves as empty servers, or as an eighth of a large fleet, may
+        // be in flight: three at a time would take minutes, and a quarter is no faster.
+        let empty = eligible.iter().filter(|&&server| self.servers[server].held_slices == 0).count();
+        let free = MAX_IN_FLIGHT.max(empty).max(eligible.len() / 8).saturating_sub(in_flight);
+        let owned_slices = |server: usize| {
             (0..self.slices.len()).filter(move |&slice| self.slices[slice].owner() == Some(server))
         };
-        // Exception: a server that has too much gives its hottest slice that another can well take.
-        // So does one that fails many reqs without being full: lower levels would not help it.
+        // Exception: an overloaded server loses the hottest of its slices that another server can handle.
+        // So does one that fails many reqs without being full, as lower levels would not help it.
         let degraded = |server: usize| if self.servers[server].degraded { 1.5 } else { 0.0 };
         let strain = |server: usize| self.strain(server, now).unwrap_or(0.0).max(degraded(server));
-        let mut strained: Vec<usize> = fit.iter().copied().filter(|&server| strain(server) > 1.0).collect();
+        let mut strained: Vec<usize> =
+            eligible.iter().copied().filter(|&server| strain(server) > 1.0).collect();
         strained.sort_by(|&a, &b| strain(b).total_cmp(&strain(a)));
         let mut moves = Vec::new();
         for server in strained.into_iter().take(free) {
-            // Another that lets in so much more that this makes up for the settling will do, though it denies some.
+            // A server that denies some requests is accepted if it admits enough more to make up for the settling.
             let goes_by_level = self.admits_shares() && !self.servers[server].degraded;
-            let least = if goes_by_level { pays * self.servers[server].level } else { 1.0 };
-            let takes =
-                |to: usize, s: usize| !self.servers[to].degraded && self.share_with(to, s).min(1.0) >= least;
-            let fits = |&s: &usize| fit.iter().any(|&to| to != server && takes(to, s));
-            moves.extend(owned(server).filter(fits).max_by(|&a, &b| self.rate(a).total_cmp(&self.rate(b))));
+            let min_share = if goes_by_level { min_gain * self.servers[server].level } else { 1.0 };
+            let takes = |to: usize, s: usize| {
+                !self.servers[to].degraded && self.admissible_share(to, s).min(1.0) >= min_share
+            };
+            let fits = |&s: &usize| eligible.iter().any(|&to| to != server && takes(to, s));
+            moves.extend(
+                owned_slices(server)
+                    .filter(fits)
+                    .max_by(|&a, &b| self.slice_rate(a).total_cmp(&self.slice_rate(b))),
+            );
         }
-        let below = fit.iter().copied().min_by_key(|&server| (gain(server), server));
-        // Guards against a slice that goes from a server and, by fewest slices held, straight back, each tick again: servers
-        // whose starts differ can have gained some and still hold the fewest.
-        let evens_out =
-            |&server: &usize| fit.iter().any(|&to| self.servers[to].held + 1 < self.servers[server].held);
-        let above = fit.iter().copied().filter(evens_out).max_by_key(|&server| (gain(server), server));
+        let below = eligible.iter().copied().min_by_key(|&server| (gained(server), server));
+        // Prevents a slice from leaving a server and, as that holds the fewest, returning to it at every tick: a server with
+        // a low initial count can have gained slices and still hold the fewest.
+        let evens_out = |&server: &usize| {
+            eligible.iter().any(|&to| self.servers[to].held_slices + 1 < self.servers[server].held_slices)
+        };
+        let above = eligible.iter().copied().filter(evens_out).max_by_key(|&server| (gained(server), server));
         if let (Some(below), Some(above)) = (below, above) {
-            let uneven = gain(below) < 0 && gain(above) > 0 && gain(above) - gain(below) >= THRESHOLD;
+            let uneven = gained(below) < 0
+                && gained(above) > 0
+                && gained(above) - gained(below) >= IMBALANCE_THRESHOLD;
             if uneven && moves.len() < free {
-                moves.extend(owned(above).find(|slice| !moves.contains(slice)));
+                moves.extend(owned_slices(above).find(|slice| !moves.contains(slice)));
             }
         }
         moves
--- a/crates/steward/src/rebalance/suspicion.rs
+++ b/crates/steward/src/rebalance/suspicion.rs
@@ -1,64 +1,69 @@
-//! Suspicion: servers at which nothing succeeds any more, or which fail a good part.
+//! Suspicion: servers at which nothing succeeds any more, or at which many reqs fail.
 
-use super::state::Tries;
+use super::state::TryReport;
 use super::Steward;
 use crate::{Health, Time, SECOND};
 
-/// As long as the list usually needs to notice a silent machine.
-const SUSPICION: Time = 15 * SECOND;
+/// As long as discovery usually needs to notice an unresponsive machine.
+const SUSPICION_DURATION: Time = 15 * SECOND;
 
-/// Tries from which on chance failures are unlikely.
-const ENOUGH_TRIES: f64 = 8.0;
+/// Number of tries from which on their failure is unlikely to be chance.
+const MIN_TRIES: f64 = 8.0;
 
-/// The parts of the tries that fail at a server that is gone, by the newest reports alone; at one that is dead; at one that is
-/// degraded.
-const FAILING_GONE: f64 = 0.8;
-const FAILING_DEAD: f64 = 0.9;
-const FAILING_DEGRADED: f64 = 0.25;
+/// Minimum share of failed tries at a server that is gone (by the newest reports alone), dead, or degraded.
+const GONE_FAILURE_SHARE: f64 = 0.8;
+const DEAD_FAILURE_SHARE: f64 = 0.9;
+const DEGRADED_FAILURE_SHARE: f64 = 0.25;
 
-/// Reports that tell of a server that no list names.
+/// Number of newest reports that decide about a server which no list names.
 const NEWEST_REPORTS: usize = 3;
 
 impl Steward {
-    /// A server at which nothing succeeds any more, though the list still shows it.
-    pub(super) fn suspect(&mut self, now: Time) {
-        let span = self.span();
-        // A server accepts so many connections, and proxies keep one for a while after a req that went well. Where those
-        // reqs came from more proxies, the next fail at its door, whatever its cores do. A steward hears of its own
-        // slices; the others' are taken to bring as many.
+    /// Updates which servers are gone, suspected or degraded according to the reports, whatever the list shows.
+    pub(super) fn update_suspicion(&mut self, now: Time) {
+        let window = self.report_window();
+        // A server accepts a limited number of connections, and proxies keep one open for a while after a successful req.
+        // Where such reqs came from more proxies, further ones are refused whatever the server's load. A steward only
+        // has reports of its own slices, and assumes the same number for each of the other stewards.
         let proxies = self.proxies.len().max(1) as f64;
-        let accepted = self.cfg.number("family_info.conns_least").unwrap_or(f64::INFINITY);
+        let max_connections = self.cfg.number("family_info.conns_least").unwrap_or(f64::INFINITY);
         let stewards = self.cfg.number("balancers").unwrap_or(1.0).max(1.0);
-        let crowded = |kept: f64| proxies * (1.0 - (-kept * stewards / proxies).exp()) >= accepted;
+        let is_at_connection_limit = |kept_connections: f64| {
+            proxies * (1.0 - (-kept_connections * stewards / proxies).exp()) >= max_connections
+        };
         for server in &mut self.servers {
-            let recent: Vec<&Tries> = server.tries.iter().filter(|t| now - t.at < span).collect();
-            let count = |of: &[&Tries]| of.iter().map(|t| t.count).sum::<f64>();
-            let failing =
-                |of: &[&Tries], part| of.iter().map(|t| t.failed - part * t.count).sum::<f64>() >= 0.0;
-            // Guards against a list that drops live servers, or none but a kept one: what reports show to
-            // work stays. Gone is what mostly fails in the newest reports, or is silent for long.
-            // Harm: a real death is believed only once reports agree, a second or two later.
+            let recent: Vec<&TryReport> = server.try_reports.iter().filter(|t| now - t.at < window).collect();
+            let count = |reports: &[&TryReport]| reports.iter().map(|t| t.count).sum::<f64>();
+            let failing = |reports: &[&TryReport], min_share| {
+                reports.iter().map(|t| t.failed - min_share * t.count).sum::<f64>() >= 0.0
+            };
+            // A list may drop live servers, or be only a stored one: a server that works by the reports stays. It is
+            // gone if it mostly fails in the newest reports, or has no reports for long.
+            // Drawback: a real failure is acted on only once reports agree, a second or two later.
             let newest = &recent[recent.len().saturating_sub(NEWEST_REPORTS)..];
-            let silent = recent.is_empty() && now - server.named >= 2 * span;
-            if server.missing && (silent || !recent.is_empty() && failing(newest, FAILING_GONE)) {
+            let silent = recent.is_empty() && now - server.last_recorded_at >= 2 * window;
+            if server.presumed_ready && (silent || !recent.is_empty() && failing(newest, GONE_FAILURE_SHARE))
+            {
                 server.health = Health::Gone;
             }
-            // Guards against taking a jam for a death: a full server fails everything too, but was busy or
-            // late just before. Its level falls first; moving its slices would only jam the next one.
-            // Nor a full door: whoever has a connection is still served, and moved slices would bring a crowd to the next.
-            let full = server.jammed(now) || crowded(server.kept) && !failing(&recent, 1.0);
-            let told = recent.len() >= 2 && count(&recent) >= ENOUGH_TRIES && !full;
-            server.degraded = told && failing(&recent, FAILING_DEGRADED);
-            // Where more proxies come than a server accepts, a door may be full by other stewards' slices, unseen from
-            // here: then a death is that nothing at all succeeds.
-            let dead = if proxies > accepted { 1.0 } else { FAILING_DEAD };
-            if told && failing(&recent, dead) {
-                server.suspect_until = now + SUSPICION;
+            // An overloaded server is not dead: it fails everything too, but was busy or late just before. Its level
+            // falls first; moving its slices would only overload the next one. Nor is one at its connection limit:
+            // open connections are still served, and moved slices would exhaust the limit of the next one.
+            let is_full = server.recently_strained(now)
+                || is_at_connection_limit(server.kept_connections) && !failing(&recent, 1.0);
+            let is_conclusive = recent.len() >= 2 && count(&recent) >= MIN_TRIES && !is_full;
+            server.degraded = is_conclusive && failing(&recent, DEGRADED_FAILURE_SHARE);
+            // With more proxies than a server accepts, other stewards' slices may exhaust its connections unnoticed:
+            // then it is dead only if nothing at all succeeds.
+            let dead_failure_share = if proxies > max_connections { 1.0 } else { DEAD_FAILURE_SHARE };
+            if is_conclusive && failing(&recent, dead_failure_share) {
+                server.suspect_until = now + SUSPICION_DURATION;
             }
         }
     }
 
-    pub(super) fn trusted(&self, server: usize, now: Time) -> bool {
+    /// Returns true if a server is not suspected.
+    pub(super) fn is_trusted(&self, server: usize, now: Time) -> bool {
         now >= self.servers[server].suspect_until
     }
 }
--- a/crates/steward/src/rebalance/tests/inputs.rs
+++ b/crates/steward/src/rebalance/tests/inputs.rs
@@ -1,4 +1,4 @@
-//! What a steward learns: settings, the list of servers, and what it forgets.
+//! Inputs: settings, server lists, and servers that are forgotten.
 
 use super::*;
 
@@ -11,12 +11,12 @@
 }
 
 #[test]
-fn a_quiet_steward_writes_nothing() {
+fn a_steward_without_changes_writes_nothing() {
     assert_eq!(orders(&mut steward(4, 2, 2), 1), []);
 }
 
 #[test]
-fn a_draining_owner_loses_its_slices_at_once_under_a_mark() {
+fn the_slices_of_a_draining_owner_are_revoked_at_once_under_a_mark() {
     let mut steward = steward(2, 2, 2);
     list(&mut steward, 0, Health::Draining, 0);
     let drops = [Order::DropLines { slice: 0 }, Order::DropLines { slice: 1 }, Order::Stamp { number: 1 }];
@@ -25,14 +25,14 @@
 }
 
 #[test]
-fn a_restarted_owner_has_stopped_what_it_held() {
+fn the_slices_of_a_restarted_owner_are_revoked() {
     let mut steward = steward(1, 2, 1);
     list(&mut steward, 0, Health::Ready, SECOND);
     assert_eq!(orders(&mut steward, 2 * SECOND)[0], Order::DropLines { slice: 0 });
 }
 
 #[test]
-fn a_server_missing_from_a_whole_list_is_gone() {
+fn a_server_missing_from_a_complete_list_is_gone() {
     let mut steward = steward(1, 2, 1);
     steward.list_begin(Scope::Whole);
     steward.list_entry(1, Health::Ready, 0);
@@ -41,30 +41,30 @@
 }
 
 #[test]
-fn a_server_that_only_a_record_names_keeps_its_slices_until_a_list_lacks_it() {
+fn a_server_named_only_by_a_record_keeps_its_slices_until_it_is_missing_from_a_list() {
     let mut steward = steward(1, 2, 1);
     steward.on_record(0, 0, 9, 1.0);
     steward.list_end(Scope::Kept);
-    assert_eq!(steward.leaving(1).0, []);
+    assert_eq!(steward.slices_to_move(1).0, []);
     steward.list_end(Scope::Changes);
-    assert_eq!(steward.leaving(1).0, [0]);
+    assert_eq!(steward.slices_to_move(1).0, [0]);
 }
 
 #[test]
-fn a_dropped_server_keeps_its_slices_while_it_works_where_only_a_drain_binds() {
+fn a_server_dropped_from_the_list_keeps_its_slices_while_it_works_if_only_draining_binds() {
     let mut steward = steward(1, 2, 1);
     steward.cfg.set("safety.only_draining_binds", "true");
-    steward.servers[0].tries = tries(SECOND, 10.0, 1.0, SECOND / 10, None);
+    steward.servers[0].try_reports = try_reports(SECOND, 10.0, 1.0, SECOND / 10, None);
     list(&mut steward, 0, Health::Gone, 0);
-    steward.suspect(SECOND);
-    assert_eq!(steward.leaving(SECOND).0, []);
-    steward.servers[0].tries = tries(SECOND, 10.0, 9.0, SECOND / 10, None);
-    steward.suspect(SECOND);
-    assert_eq!(steward.leaving(SECOND).0, [0]);
+    steward.update_suspicion(SECOND);
+    assert_eq!(steward.slices_to_move(SECOND).0, []);
+    steward.servers[0].try_reports = try_reports(SECOND, 10.0, 9.0, SECOND / 10, None);
+    steward.update_suspicion(SECOND);
+    assert_eq!(steward.slices_to_move(SECOND).0, [0]);
 }
 
 #[test]
-fn a_failed_subscription_is_asked_for_again_soon() {
+fn a_failed_subscription_is_retried_soon() {
     let mut steward = steward(1, 1, 1);
     steward.cfg.set("discovery", "on_request");
     steward.list_failed(SECOND);
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_server_is_forgotten_once_nothing_names_it_and_its_index_starts_anew() {
+fn a_server_is_forgotten_once_nothing_refers_to_it_and_its_index_is_reset() {
     let mut steward = steward(1, 2, 1);
     steward.servers[0].boot = SECOND;
     assert!(!steward.forget(0));
--- a/crates/steward/src/rebalance/tests/mod.rs
+++ b/crates/steward/src/rebalance/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions, by concern, and what they share.
+//! Tests of the decisions, by subject, and their shared helpers.
 
 mod admission;
 mod channel;
@@ -15,7 +15,7 @@
 const LEASE: Time = 4 * SECOND;
 const SETTLE: Time = 5 * SECOND;
 
-/// A steward of some slices, all owned by server 0 of `bes` ready ones, with `proxies` joined.
+/// Returns a steward with all slices owned by server 0 of `servers` ready ones, and with `proxies` joined.
 fn steward(slices: usize, servers: usize, proxies: usize) -> Steward {
     let mut cfg = Settings::default();
     for (name, value) in [
@@ -37,7 +37,7 @@
     }
     cfg.set("family_info.ranges", &slices.to_string());
     cfg.set("family_info.proxy_count", &proxies.to_string());
-    let mut steward = Steward::new(0, 7, cfg).expect("all settings are there");
+    let mut steward = Steward::new(0, 7, cfg).expect("all required settings are set");
     steward.list_begin(Scope::Whole);
     (0..servers).for_each(|server| steward.list_entry(server, Health::Ready, 0));
     steward.list_end(Scope::Whole);
@@ -49,15 +49,16 @@
     steward
 }
 
+/// Hands in a change of one server.
 fn list(steward: &mut Steward, server: usize, health: Health, boot: Time) {
     steward.list_begin(Scope::Changes);
     steward.list_entry(server, health, boot);
     steward.list_end(Scope::Changes);
 }
 
-/// All orders at a time but for the reminders.
+/// Returns all orders at a time except reminders.
 fn orders(steward: &mut Steward, now: Time) -> Vec<Order> {
-    steward.news = true;
+    steward.decision_due = true;
     let all = std::iter::from_fn(|| steward.next_order(now));
     all.filter(|order| !matches!(order, Order::Remind { .. })).collect()
 }
@@ -66,10 +67,10 @@
     matches!(slice.state, State::HandingOff { .. })
 }
 
-/// Puts slice 0 into a hand-over under mark 1 that waits for these proxies.
+/// Starts a hand-over of slice 0 under mark 1 that waits for these proxies.
 fn hand_off(steward: &mut Steward, waiting: &[usize]) {
     steward.mark = 1;
-    steward.slices[0].state = State::HandingOff { mark: 1, waiting: waiting.to_vec() };
+    steward.slices[0].state = State::HandingOff { mark: 1, awaited_proxies: waiting.to_vec() };
 }
 
 fn settle(steward: &mut Steward, until: Time) {
@@ -84,18 +85,18 @@
     matches!(slice.state, State::Settling { .. })
 }
 
-fn fewest(steward: &mut Steward, now: Time, slice: usize) -> Option<usize> {
-    steward.reported = true;
-    steward.tally(now);
-    steward.fewest(now, slice)
+fn choose_server(steward: &mut Steward, now: Time, slice: usize) -> Option<usize> {
+    steward.rates_outdated = true;
+    steward.update_totals(now);
+    steward.choose_server(now, slice)
 }
 
-fn cap(steward: &mut Steward, now: Time) -> f64 {
-    steward.reported = true;
-    steward.tally(now);
-    steward.cap(0)
+fn budget_level(steward: &mut Steward, now: Time) -> f64 {
+    steward.rates_outdated = true;
+    steward.update_totals(now);
+    steward.budget_level(0)
 }
 
-fn tries(now: Time, count: f64, failed: f64, took: Time, util: Option<f64>) -> VecDeque<Tries> {
-    (0..4).map(|_| Tries { at: now, count, failed, took, util }).collect()
+fn try_reports(now: Time, count: f64, failed: f64, took: Time, util: Option<f64>) -> VecDeque<TryReport> {
+    (0..4).map(|_| TryReport { at: now, count, failed, took, util }).collect()
 }
