--- a/crates/steward/src/rebalance.rs
+++ b/crates/steward/src/rebalance.rs
@@ -133,10 +133,12 @@
         Ok(steward)
     }
 
+    /// Returns a setting, 0 if it is missing.
     fn time(&self, name: &str) -> Time {
         self.cfg.time(name).unwrap_or(0)
     }
 
+    /// Returns the entry of a server, which is created if needed.
     fn server(&mut self, server: usize) -> &mut Server {
         if self.servers.len() <= server {
             self.servers.resize(server + 1, Server::new());
@@ -144,6 +146,7 @@
         &mut self.servers[server]
     }
 
+    /// Returns the entry of a proxy, which is created if needed.
     fn proxy(&mut self, proxy: usize) -> &mut Proxy {
         if self.proxies.len() <= proxy {
             self.proxies.resize(proxy + 1, Proxy { disconnected_at: self.started_at, ..Proxy::default() });
@@ -171,6 +174,7 @@
         self.pending_orders.pop_front()
     }
 
+    /// Adds all orders that are due now to the pending ones.
     fn decide(&mut self, now: Time) {
         // Interval at which deadlines (leases, settling, the window of the channel budget) are checked.
         const DECISION_INTERVAL: Time = SECOND / 10;
@@ -190,6 +194,7 @@
         self.pending_orders.extend(orders);
     }
 
+    /// Returns the servers that count as ready.
     fn ready(&self) -> impl Iterator<Item = usize> + '_ {
         (0..self.servers.len()).filter(|&server| self.servers[server].health == Health::Ready)
     }
@@ -231,7 +236,7 @@
             self.set_levels(now, slice, &self.wanted_levels(slice), &mut orders);
         }
         if !restrict {
-            self.grants_and_levels(now, ordinary, &mut orders);
+            self.add_grants_and_levels(now, ordinary, &mut orders);
         }
         for server in withdrawal_changes {
             let entry = &mut self.servers[server];
@@ -258,7 +263,7 @@
     }
 
     /// Grants settled slices first, as a full channel starved them when they came last, and then changes levels.
-    fn grants_and_levels(&mut self, now: Time, available: usize, orders: &mut Vec<Order>) {
+    fn add_grants_and_levels(&mut self, now: Time, available: usize, orders: &mut Vec<Order>) {
         let (settled, owned): (Vec<usize>, Vec<usize>) = (0..self.slices.len())
             .filter(|&slice| self.slices[slice].owner().is_some() || self.slices[slice].may_be_granted(now))
             .partition(|&slice| self.slices[slice].owner().is_none());
@@ -277,6 +282,7 @@
         }
     }
 
+    /// Grants a slice to the most suitable server, if any is ready, with its initial levels.
     fn grant(&mut self, now: Time, slice: usize, orders: &mut Vec<Order>) {
         let Some(server) = self.choose_server(now, slice) else { return };
         let added_rate = self.rate_once_granted(server, slice);
@@ -284,7 +290,7 @@
         (entry.last_grant_at, entry.held_slices, entry.load) =
             (now, entry.held_slices + 1, entry.load + added_rate);
         self.servers[server].level = self.servers[server].level.min(self.budget_level(server));
-        self.slices[slice].state = State::Owned { server, stopped: false };
+        self.slices[slice].state = State::Owned { server, restarted: false };
         self.slices[slice].levels = [1.0; MAX_KINDS];
         orders.push(Order::SetLine { slice, server });
         // Protects a cold server from the requests that proxies held back while the slice had no owner: a level
@@ -303,6 +309,7 @@
         now - self.levels_written_at >= Self::TICK || is_cold || opens || self.urgent_update
     }
 
+    /// Orders the wanted levels of a slice as far as they differ enough from its current ones.
     fn set_levels(&mut self, now: Time, slice: usize, wanted: &[f64; MAX_KINDS], orders: &mut Vec<Order>) {
         // Small changes would fill the channel.
         const MIN_LEVEL_CHANGE: f64 = 0.1;
--- a/crates/steward/src/rebalance/admission.rs
+++ b/crates/steward/src/rebalance/admission.rs
@@ -59,13 +59,14 @@
         if util < 1.0 {
             return Some(util);
         }
-        let took = recent().map(|t| (t.count - t.failed) * t.took as f64).sum::<f64>() / successful.max(1.0);
+        let response_time = recent().map(|t| (t.count - t.failed) * t.response_time as f64).sum::<f64>()
+            / successful.max(1.0);
         // A full server rejects reqs at once and answers the rest late.
         let is_full =
             successful < FULL_COMPLETED_SHARE * count && self.servers[server].recently_strained(now);
         let full_strain = if is_full { count / successful.max(1.0) } else { 0.0 };
         let busy_strain = if util.is_nan() { 0.0 } else { MIN_BUSY_STRAIN };
-        let late_strain = took / (LATE_SHARE * self.mean_response_target);
+        let late_strain = response_time / (LATE_SHARE * self.mean_response_target);
         Some(late_strain.max(full_strain).max(busy_strain))
     }
 
@@ -75,17 +76,17 @@
     }
 
     /// Lowers the levels of overloaded servers and raises those of servers with spare capacity.
-    pub(super) fn update_levels(&mut self, now: Time, tick: bool) {
+    pub(super) fn update_levels(&mut self, now: Time, is_tick: bool) {
         let window = self.report_window();
         let per_second = SECOND as f64 / window as f64;
-        let completed_rate: f64 = self.servers.iter().map(|server| server.tries_within(now, window).1).sum();
+        let completed: f64 = self.servers.iter().map(|server| server.tries_within(now, window).1).sum();
         self.peak_completed_rate =
-            self.peak_completed_rate.max(completed_rate * per_second / self.ready().count().max(1) as f64);
+            self.peak_completed_rate.max(completed * per_second / self.ready().count().max(1) as f64);
         let shares = self.admits_shares();
         for server in 0..self.servers.len() {
             // Between ticks only cold servers' levels are checked, and only lowered: client retries can overload
             // a cold server within a tick.
-            if !tick && self.servers[server].warm_share >= 1.0 {
+            if !is_tick && self.servers[server].warm_share >= 1.0 {
                 continue;
             }
             let strain = self.strain(server, now);
@@ -96,14 +97,14 @@
             let level = match strain.unwrap_or(0.0) {
                 strain if strain > 1.0 => {
                     let part = (1.0 / strain).max(MIN_COMPLETED_SHARE);
-                    let completed_rate =
+                    let completed_share =
                         part * successful * per_second / self.servers[server].load.max(MIN_RATE);
-                    completed_rate.min(FALLING_LEVEL_FACTOR * level)
+                    completed_share.min(FALLING_LEVEL_FACTOR * level)
                 }
                 strain if strain > HOLD_STRAIN => level,
                 strain => level / strain.max(MIN_RISING_STRAIN),
             };
-            let level = if tick { level } else { level.min(self.servers[server].level) };
+            let level = if is_tick { level } else { level.min(self.servers[server].level) };
             let max_level = self.budget_level(server);
             let server = &mut self.servers[server];
             self.urgent_update |=
--- a/crates/steward/src/rebalance/channel.rs
+++ b/crates/steward/src/rebalance/channel.rs
@@ -186,7 +186,7 @@
 
     /// Detects that messages have left the channel which may never be answered, as perhaps no proxy was there to receive them.
     fn detect_empty_channel(&mut self, now: Time) {
-        let Some(last) = self.updates.back().filter(|update| update.mark > self.evidence.cleared_mark) else {
+        let Some(last) = self.updates.back().filter(|last| last.mark > self.evidence.cleared_mark) else {
             return;
         };
         let idle_since = self.evidence.idle_since.max(last.at);
@@ -266,9 +266,9 @@
         let capacity = self.available_lines(now, orders).0;
         let fits = orders.min(capacity);
         let substantial_part = (self.empty_channel_capacity(URGENT_SHARE) / 2.0).max(2.0) as usize;
-        let is_enough = fits >= orders.min(substantial_part) && fits >= orders.min(2);
+        let is_worth_sending = fits >= orders.min(substantial_part) && fits >= orders.min(2);
         let is_probe = probe_due && fits > 0;
-        if !is_enough && !is_probe {
+        if !is_worth_sending && !is_probe {
             return None;
         }
         self.mark += 1;
--- a/crates/steward/src/rebalance/handoff.rs
+++ b/crates/steward/src/rebalance/handoff.rs
@@ -39,7 +39,7 @@
     /// Returns true if its server drains, is gone or has restarted.
     fn has_lost_server(&self, slice: &Slice) -> bool {
         match slice.state {
-            State::Owned { server, stopped } => stopped || self.servers[server].health != Health::Ready,
+            State::Owned { server, restarted } => restarted || self.servers[server].health != Health::Ready,
             _ => false,
         }
     }
--- a/crates/steward/src/rebalance/inputs.rs
+++ b/crates/steward/src/rebalance/inputs.rs
@@ -37,7 +37,7 @@
         (entry.presumed_ready, entry.health, entry.boot) = (false, health, boot.max(entry.boot));
         if restarted {
             let held = self.slices.iter_mut().filter(|slice| slice.owner() == Some(server));
-            held.for_each(|slice| slice.state = State::Owned { server, stopped: true });
+            held.for_each(|slice| slice.state = State::Owned { server, restarted: true });
         }
     }
 
@@ -162,7 +162,8 @@
             (entry.presumed_ready, entry.health) = (true, Health::Ready);
         }
         if let Some(entry) = self.slices.get_mut(slice) {
-            entry.state = if is_whole { State::Owned { server, stopped: false } } else { State::LineUnknown };
+            entry.state =
+                if is_whole { State::Owned { server, restarted: false } } else { State::LineUnknown };
         }
     }
 
@@ -185,11 +186,11 @@
         server: usize,
         count: f64,
         failed: f64,
-        took: Time,
+        response_time: Time,
         util: Option<f64>,
     ) {
         (self.decision_due, self.last_report_at) = (true, now);
-        let late = took as f64 > LATE_SHARE * self.mean_response_target;
+        let late = response_time as f64 > LATE_SHARE * self.mean_response_target;
         let idle = self.time("limits.idle_close_s").max(1) as f64;
         let entry = self.server(server);
         if late || util.is_some_and(|util| util >= BUSY_UTILIZATION) {
@@ -202,7 +203,7 @@
         );
         push_bounded(
             &mut entry.try_reports,
-            TryReport { at: now, count, failed, took, util },
+            TryReport { at: now, count, failed, response_time, util },
             TRAFFIC_SAMPLES,
         );
     }
--- a/crates/steward/src/rebalance/placement.rs
+++ b/crates/steward/src/rebalance/placement.rs
@@ -34,7 +34,9 @@
 
     /// Returns the slices to move at a tick, off overloaded servers and from servers above their initial count to others below.
     pub(super) fn slices_to_rebalance(&self, now: Time) -> Vec<usize> {
+        // Difference in gained slices from which on one slice is moved.
         const IMBALANCE_THRESHOLD: isize = 3;
+        // Usual limit of slices between two servers at a time.
         const MAX_IN_FLIGHT: usize = 3;
         // A slice serves nothing while it settles: within this time a move has to recover the lost requests.
         const MOVE_PAYBACK: Time = 30 * SECOND;
--- a/crates/steward/src/rebalance/state.rs
+++ b/crates/steward/src/rebalance/state.rs
@@ -61,7 +61,7 @@
     pub count: f64,
     pub failed: f64,
     /// Mean response time of the successful tries.
-    pub took: Time,
+    pub response_time: Time,
     /// CPU utilization, if reported.
     pub util: Option<f64>,
 }
@@ -101,8 +101,8 @@
     /// Assigned to another steward.
     #[default]
     NotAssigned,
-    /// The store has its line at this server. `stopped`: the server has restarted and no longer serves it.
-    Owned { server: usize, stopped: bool },
+    /// The store has its line at this server. `restarted`: the server has restarted and no longer serves it.
+    Owned { server: usize, restarted: bool },
     /// The store's line, and so the server that may be writing, is unknown: the slice is revoked first.
     LineUnknown,
     /// Revoked under this mark, which these proxies have to answer.
--- a/crates/steward/src/rebalance/tests/mod.rs
+++ b/crates/steward/src/rebalance/tests/mod.rs
@@ -78,7 +78,7 @@
 }
 
 fn owned(server: usize) -> State {
-    State::Owned { server, stopped: false }
+    State::Owned { server, restarted: false }
 }
 
 fn settling(slice: &Slice) -> bool {
@@ -97,6 +97,12 @@
     steward.budget_level(0)
 }
 
-fn try_reports(now: Time, count: f64, failed: f64, took: Time, util: Option<f64>) -> VecDeque<TryReport> {
-    (0..4).map(|_| TryReport { at: now, count, failed, took, util }).collect()
+fn try_reports(
+    now: Time,
+    count: f64,
+    failed: f64,
+    response_time: Time,
+    util: Option<f64>,
+) -> VecDeque<TryReport> {
+    (0..4).map(|_| TryReport { at: now, count, failed, response_time, util }).collect()
 }
