--- a/crates/steward/src/lib.rs
+++ b/crates/steward/src/lib.rs
@@ -73,7 +73,7 @@
     pub since: Option<Time>,
 }
 
-/// Permission to re-send orders, see [`Steward::repeat`].
+/// Permission to send orders again whose outcome is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Repeat {
     /// Number of orders that may be sent, including the mark.
--- a/crates/steward/src/rebalance/channel.rs
+++ b/crates/steward/src/rebalance/channel.rs
@@ -61,7 +61,7 @@
     /// Returns an estimate of the lines that wait in the channel.
     pub fn waiting(&self) -> Waiting {
         let updates =
-            self.updates.iter().map(|update| (update.at, update.lines * self.unanswered(update.mark)));
+            self.updates.iter().map(|update| (update.at, update.lines * self.pending_proxies(update.mark)));
         let waiting = updates.filter(|(_, lines)| *lines > 0.0);
         let all = waiting.fold(Waiting::default(), |sum, (at, lines)| Waiting {
             lines: sum.lines + lines,
@@ -96,7 +96,7 @@
     }
 
     /// Returns the number of proxies for which a message with this mark may still wait.
-    pub(super) fn unanswered(&self, mark: u64) -> f64 {
+    pub(super) fn pending_proxies(&self, mark: u64) -> f64 {
         let due = |proxy: &&Proxy| proxy.written_mark >= mark && self.cleared_up_to(proxy) < mark;
         self.proxies.iter().filter(due).count() as f64
     }
@@ -207,14 +207,14 @@
         let slowest = self.channel_rate() / MAX_SLOWDOWN;
         let transit = self.cfg.time("family_info.transit_max_s").unwrap_or(SECOND);
         let longest = before().map(|update| update.lines).fold(0.0, f64::max);
-        let span = |lines: f64, rate: f64| transit + crate::from_seconds(lines / rate);
-        let is_idle = now - missed_answers.idle_since >= span(longest, slowest);
+        let send_time = |lines: f64, rate: f64| transit + crate::from_seconds(lines / rate);
+        let is_idle = now - missed_answers.idle_since >= send_time(longest, slowest);
         if !is_idle {
             return false;
         }
-        let all: f64 = before().map(|update| update.lines * self.unanswered(update.mark)).sum();
+        let all: f64 = before().map(|update| update.lines * self.pending_proxies(update.mark)).sum();
         let rate = if self.missed_answers.is_some() { slowest } else { self.channel_rate() };
-        now - last >= span(all, rate)
+        now - last >= send_time(all, rate)
     }
 
     /// Returns true if a message, if need be with nothing but its mark, would show what waits: answers may be missed,
@@ -222,7 +222,7 @@
     /// channel holds nothing earlier.
     pub(super) fn is_probe_due(&self) -> bool {
         let Some(missed_answers) = &self.missed_answers else { return false };
-        let waits = |update: &Update| update.lines > 0.0 && self.unanswered(update.mark) > 0.0;
+        let waits = |update: &Update| update.lines > 0.0 && self.pending_proxies(update.mark) > 0.0;
         self.mark <= missed_answers.mark && self.updates.iter().any(waits)
     }
 
--- a/crates/steward/src/rebalance/tests/channel.rs
+++ b/crates/steward/src/rebalance/tests/channel.rs
@@ -168,13 +168,13 @@
     list(&mut steward, 0, Health::Draining, 0);
     let written = orders(&mut steward, 1).len();
     // It may have joined before the message was written; its joining would be reported before any answer to the message.
-    assert_eq!(steward.unanswered(1), 2.0);
+    assert_eq!(steward.pending_proxies(1), 2.0);
     steward.installed(2, 0, 1);
-    assert_eq!(steward.unanswered(1), 0.0);
+    assert_eq!(steward.pending_proxies(1), 0.0);
     assert_eq!(steward.available_lines(SECOND, 1).0, empty, "{written} lines have left the channel");
     // A joining reported after the answer was after the message; if reported before, the proxy may have received it.
     steward.joined(1, 0.0);
-    assert_eq!(steward.unanswered(1), 0.0);
+    assert_eq!(steward.pending_proxies(1), 0.0);
 }
 
 #[test]
@@ -185,14 +185,14 @@
     orders(&mut steward, 1);
     steward.joined(1, 0.0);
     steward.installed(2, 0, 1);
-    assert_eq!(steward.unanswered(1), 1.0);
+    assert_eq!(steward.pending_proxies(1), 1.0);
     // Any proxy's answer to a later mark clears it: messages leave the channel in order.
     steward.decision_due = true;
     steward.slices[0].state = State::HandingOff { mark: 2, awaited_proxies: vec![0, 1] };
     steward.record_update(SECOND, 1.0);
     steward.mark = 2;
     steward.installed(2 * SECOND, 0, 2);
-    assert_eq!(steward.unanswered(1), 0.0);
+    assert_eq!(steward.pending_proxies(1), 0.0);
 }
 
 #[test]
@@ -202,9 +202,9 @@
     list(&mut steward, 0, Health::Draining, 0);
     orders(&mut steward, 1);
     steward.news_heard(30 * SECOND);
-    assert_eq!(steward.unanswered(1), 2.0, "answers may still arrive");
+    assert_eq!(steward.pending_proxies(1), 2.0, "answers may still arrive");
     (31..35).for_each(|second| steward.news_heard(second * SECOND));
-    assert_eq!(steward.unanswered(1), 1.0, "the joined proxy has yet to answer");
+    assert_eq!(steward.pending_proxies(1), 1.0, "the joined proxy has yet to answer");
 }
 
 #[test]
