--- a/crates/view/src/lib.rs
+++ b/crates/view/src/lib.rs
@@ -5,9 +5,9 @@
 //! is a hint of great quality and never authority: who may publish is settled by leases, terms and compared writes.
 //! `docs/design/view.md` has the reasoning.
 
+mod gossip;
 mod probe;
 pub mod show;
-mod spread;
 mod table;
 mod view;
 mod wire;
--- a/crates/view/src/view.rs
+++ b/crates/view/src/view.rs
@@ -1,17 +1,17 @@
 //! One steward's view of the fleet.
 
-mod calm;
 mod compare;
 mod rounds;
+mod stability;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
 use bytes::BufMut;
 
+use crate::gossip::{About, Spread};
 use crate::probe::{Helped, Probes, HELPED, PATIENCE};
 use crate::show::{Ask, Page, Shown};
-use crate::spread::{About, Spread};
 use crate::table::{Merged, Record, State, Table, Word};
 use crate::wire::{Item, Kind, Range, Said, BODY, SAID};
 use crate::{id, Id, Life, Reach, Send, Settings, Time};
--- a/crates/view/src/view/rounds.rs
+++ b/crates/view/src/view/rounds.rs
@@ -6,8 +6,8 @@
 use bytes::BufMut;
 
 use super::{View, HELPERS, KNOCK};
+use crate::gossip::About;
 use crate::probe::{Probe, STRIKES};
-use crate::spread::About;
 use crate::table::{Record, State, Word};
 use crate::wire::{Item, Kind, BODY};
 use crate::{Id, Time};
