--- a/crates/view/src/lib.rs
+++ b/crates/view/src/lib.rs
@@ -1,8 +1,8 @@
-//! The view of the fleet that stewards keep among themselves. Pure: no I/O, no clock; times are whole tenths of a
-//! millisecond, chance is seeded.
+//! Gossip-based membership of stewards, in the manner of SWIM and Rapid: each steward keeps a view of the fleet. Pure: no
+//! I/O, no clock, and random choices are seeded.
 //!
-//! Datagrams and times are told to a [`View`], which is then asked for what to send until there is none. What it shows
-//! is a hint of great quality and never authority: who may publish is settled by leases, terms and compared writes.
+//! The caller passes received datagrams and the time to a [`View`], then polls it for datagrams to send until there are
+//! none. The view is a good hint but no authority: who may publish is decided by leases, terms and conditional writes.
 //! `docs/design/view.md` has the reasoning.
 
 mod gossip;
@@ -16,29 +16,32 @@
 
 pub use table::{Entry, State};
 pub use view::{Figures, View};
-pub use wire::{Kind, BODY};
+pub use wire::{Kind, MAX_BODY_LENGTH};
 
-/// In whole tenths of a millisecond.
+/// A point in time or a duration, in units of 0.1 ms.
 pub type Time = i64;
 
-/// A name's number: the first eight bytes of its SHA-256.
+/// Id of a name: the first eight bytes of its SHA-256.
 pub type Id = u64;
 
-/// A steward from one start of its process to the next, or to its being declared gone; a later one has a higher number.
-pub type Life = u64;
+/// Number of a steward's incarnation. A steward takes a higher one when its process starts and when it rejoins after it
+/// was dropped.
+pub type Incarnation = u64;
 
-/// The longest name, in bytes: three records have room in a datagram beside what every probe says.
+/// The longest name, in bytes. Three records with such names fit into a datagram beside a probe's status.
 pub const NAME: usize = 32;
 
-/// What a steward says of itself to the others beside its being there: the forwarders joined to it.
+/// The forwarders joined to a steward, as it reports them to the others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Reach {
+    /// How many forwarders are joined.
     pub joined: u32,
+    /// Digest of their numbers, independent of the order.
     pub digest: u64,
 }
 
 impl Reach {
-    /// Of the numbers of the forwarders, in any order.
+    /// Summarizes the numbers of the joined forwarders.
     pub fn of(joined: impl Iterator<Item = usize>) -> Reach {
         joined.fold(Reach::default(), |sum, number| Reach {
             joined: sum.joined + 1,
@@ -47,23 +50,23 @@
     }
 }
 
-/// Of one steward, from its settings.
+/// Configuration of a steward's [`View`].
 #[derive(Clone, Debug)]
 pub struct Settings {
     pub name: String,
-    /// Where others reach it.
+    /// The address at which other stewards reach it.
     pub address: SocketAddr,
-    /// Where the fleet may be found at the start, and again after a split.
+    /// Addresses to join the fleet at, at the start and after a split.
     pub peers: Vec<SocketAddr>,
-    /// Between two probes of the same member.
+    /// Interval between two probes of the same member.
     pub round: Time,
-    /// For how long a member that was lost is knocked at, in case it comes back where it was.
+    /// How long the address of a lost member is still probed, in case it comes back there.
     pub forget: Time,
     pub switches: Switches,
 }
 
 impl Settings {
-    /// With times as they are unless said otherwise.
+    /// Settings with the default times.
     pub fn new(name: &str, address: SocketAddr, peers: &[SocketAddr]) -> Settings {
         Settings {
             name: name.to_owned(),
@@ -76,26 +79,27 @@
     }
 }
 
-/// Three unanswered rounds, as long again for answers, and two until the view is at rest make 2.6 s: sooner than the lease of
-/// a membership is over, so that an heir knows before it may act. At the delays within one region, some milliseconds, a
-/// third of it is time enough for an answer.
+/// Default of [`Settings::round`]. Three unanswered rounds, three to refute, and two until the view is stable make 2.6 s:
+/// less than the lease of a membership, so that a successor knows of a failure before it may act. With delays of a few
+/// milliseconds, as within one region, a third of a round is enough for an answer.
 pub const ROUND: Time = 3_000;
 
-/// Longer than any split that is healed without somebody's doing; past it the settings' peers are still tried.
+/// Default of [`Settings::forget`]: longer than any split that heals without an operator. The configured peers are probed
+/// even after that.
 pub const FORGET: Time = 6_000_000;
 
-/// What a test leaves out, to show that its judge sees it. Never set by the product.
+/// Parts of the protocol that a test turns off to show that its checks detect it. Never set in production.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Switches {
-    /// One member's word is enough to drop another.
+    /// One observer's suspicion is enough to drop a member.
     pub single_observer: bool,
-    /// A drop follows the first word at once, with no time to answer it.
+    /// Members are dropped at once, with no time to refute the suspicions.
     pub no_suspicion: bool,
-    /// Copies are never compared, neither after a split nor after losses.
+    /// Tables are never compared, neither after a split nor after lost datagrams.
     pub no_comparison: bool,
 }
 
-/// Something to carry out.
+/// A datagram to send: its receiver, kind and body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Send {
     pub to: SocketAddr,
@@ -103,14 +107,15 @@
     pub body: Vec<u8>,
 }
 
-/// The number of a name.
+/// The id of a name.
 pub fn id(name: &str) -> Id {
     use sha2::{Digest as _, Sha256};
     let hash = Sha256::digest(name.as_bytes());
     hash.iter().take(8).fold(0, |sum, byte| sum << 8 | u64::from(*byte))
 }
 
-/// Mixes the bits of a number (the finalizer of splitmix64, Steele et al. 2014), for digests and rings. Not for secrets.
+/// Mixes the bits of a number (the finalizer of splitmix64, Steele et al. 2014), for digests and rings. Not
+/// cryptographic.
 fn mix(mut x: u64) -> u64 {
     x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     x = (x ^ x >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/view/src/probe.rs
+++ b/crates/view/src/probe.rs
@@ -1,114 +1,117 @@
-//! Whom a member watches, and what came of it.
+//! Probes of the members that this one observes, and their results.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use crate::{Id, Time};
 
-/// A probe under way.
+/// A probe sent in this round.
 #[derive(Clone, Debug)]
 pub struct Probe {
-    pub of: Id,
+    pub target: Id,
     pub answered: bool,
 }
 
-/// What is remembered of one that is watched.
+/// Probe results of one observed member.
 #[derive(Clone, Debug, Default)]
-pub struct Watched {
-    /// Rounds in a row that it did not answer.
-    pub strikes: u32,
-    /// The last rounds, the newest in the lowest bit: whether it answered.
+pub struct Subject {
+    /// Consecutive rounds in which it did not answer.
+    pub missed_rounds: u32,
+    /// Results of the last 16 rounds, the newest in the lowest bit; a set bit is an answer.
     pub history: u16,
-    /// How many of them there were.
+    /// Rounds recorded in `history`.
     pub rounds: u32,
-    /// It answered words against it: so much more patience it gets.
-    pub patience: u32,
-    /// The number of the last word on it, and whether it accused.
+    /// Raised when it refutes a suspicion; [`SUSPECT_AFTER_ROUNDS`] is multiplied by one more than this.
+    pub backoff: u32,
+    /// Sequence number of this member's last vote on it.
     pub seq: u16,
-    pub accuses: bool,
+    /// Whether that vote was a suspicion.
+    pub suspected: bool,
 }
 
-/// A probe sent for another.
+/// A probe sent at another member's request.
 #[derive(Clone, Debug)]
-pub struct Helped {
-    pub to: SocketAddr,
+pub struct IndirectProbe {
+    pub requester: SocketAddr,
+    /// Sequence number of the requester's own probe.
     pub seq: u32,
-    pub until: Time,
+    pub expires_at: Time,
 }
 
+/// This member's probes, and those that it sends for others, by sequence number.
 #[derive(Debug, Default)]
 pub struct Probes {
-    pub under_way: BTreeMap<u32, Probe>,
-    pub watched: BTreeMap<Id, Watched>,
-    pub helped: BTreeMap<u32, Helped>,
-    /// Whether anybody answered in the round that ended last.
-    pub heard: bool,
+    pub pending: BTreeMap<u32, Probe>,
+    pub subjects: BTreeMap<Id, Subject>,
+    pub indirect: BTreeMap<u32, IndirectProbe>,
+    /// Whether any probe of the last completed round was answered.
+    pub any_answered: bool,
 }
 
-/// Probes sent for others at a time: past it they are not helped, and ask somebody else the next round.
-pub const HELPED: usize = 256;
+/// Indirect probes in flight. Requests beyond it are refused; the requester picks other members in the next round.
+pub const MAX_INDIRECT_PROBES: usize = 256;
 
-/// Rounds without an answer before a member's word goes out: at a fifth of all datagrams lost, direct and by three
-/// others, one in two thousand rounds of a healthy link come to that.
-pub const STRIKES: u32 = 3;
+/// Missed rounds before a member votes to suspect another. At 20% datagram loss, with direct and three indirect probes,
+/// one in two thousand rounds of a healthy link reaches it.
+pub const SUSPECT_AFTER_ROUNDS: u32 = 3;
 
-/// The most patience, in times the strikes: a link that does not work while the member does is looked at this seldom.
-pub const PATIENCE: u32 = 8;
+/// The highest backoff: how rarely a member behind a broken link, which keeps refuting, is suspected again.
+pub const MAX_BACKOFF: u32 = 8;
 
 impl Probes {
-    /// A probe is answered. Whether it was waited for.
-    pub fn answered(&mut self, seq: u32) -> Option<Id> {
-        let probe = self.under_way.get_mut(&seq)?;
+    /// Marks a probe as answered. Returns its target, or `None` if no such probe is pending.
+    pub fn record_answer(&mut self, seq: u32) -> Option<Id> {
+        let probe = self.pending.get_mut(&seq)?;
         probe.answered = true;
-        Some(probe.of)
+        Some(probe.target)
     }
 
-    /// The round is over: strikes for those that did not answer.
+    /// Ends the round: records for each probed member whether it answered.
     pub fn end_round(&mut self) {
-        self.heard = self.under_way.values().any(|probe| probe.answered);
-        for probe in std::mem::take(&mut self.under_way).into_values() {
-            let watched = self.watched.entry(probe.of).or_default();
-            watched.history = watched.history << 1 | u16::from(probe.answered);
-            watched.rounds = (watched.rounds + 1).min(u16::BITS);
+        self.any_answered = self.pending.values().any(|probe| probe.answered);
+        for probe in std::mem::take(&mut self.pending).into_values() {
+            let subject = self.subjects.entry(probe.target).or_default();
+            subject.history = subject.history << 1 | u16::from(probe.answered);
+            subject.rounds = (subject.rounds + 1).min(u16::BITS);
             if probe.answered {
-                if watched.strikes == 0 {
-                    watched.patience = watched.patience.saturating_sub(u32::from(!watched.accuses));
+                if subject.missed_rounds == 0 {
+                    subject.backoff = subject.backoff.saturating_sub(u32::from(!subject.suspected));
                 }
-                watched.strikes = 0;
+                subject.missed_rounds = 0;
             } else {
-                watched.strikes = watched.strikes.saturating_add(1);
+                subject.missed_rounds = subject.missed_rounds.saturating_add(1);
             }
         }
     }
 
-    /// Whether this member's own link is bad: of those that answer it at all, most probes go unanswered. The dead and
-    /// those behind a split answer nothing any more, so this tells a bad link from them; until then they are the newest
-    /// few rounds of sixteen.
-    pub fn is_bad_link(&self) -> bool {
-        let (answered, rounds) = self.answered_of(u16::BITS);
-        2 * answered < rounds || self.is_link_gone_bad()
+    /// Returns true if this member's own link is likely bad: most probes of the members that answer at all go unanswered.
+    /// Members that crashed or are partitioned away answer none, so they count only until their last answer has left the
+    /// history of sixteen rounds.
+    pub fn is_own_link_bad(&self) -> bool {
+        let (answered, rounds) = self.answer_counts(u16::BITS);
+        2 * answered < rounds || self.has_own_link_just_failed()
     }
 
-    /// Whether all but a few fell silent at once, within as many rounds as it takes to accuse one: it is more likely one's
-    /// own link than all of them. Where it was them, they have answered nothing for sixteen rounds soon, and others who
-    /// lost fewer at once say so meanwhile.
-    fn is_link_gone_bad(&self) -> bool {
-        let (answered, rounds) = self.answered_of(STRIKES);
+    /// Returns true if nearly all members stopped answering within the rounds that it takes to suspect one: this member's
+    /// own link has more likely failed than all of them. If they did fail, they leave the history after sixteen rounds, and
+    /// observers that lost fewer of their subjects suspect them meanwhile.
+    fn has_own_link_just_failed(&self) -> bool {
+        let (answered, rounds) = self.answer_counts(SUSPECT_AFTER_ROUNDS);
         3 * answered < rounds
     }
 
-    /// Of the newest rounds with those that answered in any of sixteen: how many they answered, and how many there were.
-    fn answered_of(&self, newest: u32) -> (u32, u32) {
-        let alive = self.watched.values().filter(|watched| watched.history != 0);
+    /// Counts answers and rounds over the newest rounds of the members that answered in any of the last sixteen.
+    fn answer_counts(&self, newest: u32) -> (u32, u32) {
+        let alive = self.subjects.values().filter(|subject| subject.history != 0);
         let mask = u16::MAX >> (u16::BITS - newest);
-        alive.fold((0, 0), |(answered, rounds), watched| {
-            (answered + (watched.history & mask).count_ones(), rounds + watched.rounds.min(newest))
+        alive.fold((0, 0), |(answered, rounds), subject| {
+            (answered + (subject.history & mask).count_ones(), rounds + subject.rounds.min(newest))
         })
     }
 
-    /// This member was not running: nothing can be made of what went unanswered meanwhile. Strikes of rounds in which it
-    /// ran stay, else one that stands still again and again would never accuse the dead.
-    pub fn forgive(&mut self) {
-        self.under_way.clear();
+    /// Drops the pending probes after this process was paused, since their answers could not be received. Rounds missed
+    /// before the pause still count, else a member that pauses repeatedly would never suspect a crashed one.
+    pub fn discard_pending(&mut self) {
+        self.pending.clear();
     }
 }
--- a/crates/view/src/show.rs
+++ b/crates/view/src/show.rs
@@ -1,4 +1,4 @@
-//! What a steward shows of its view to whoever asks: a member a datagram, so that none grows with the fleet.
+//! Queries of a steward's view, answered one member per datagram, so that datagrams don't grow with the fleet.
 
 use std::net::SocketAddr;
 
@@ -6,44 +6,47 @@
 
 use crate::table::State;
 use crate::wire::{read_address, write_address};
-use crate::{Id, Life, Reach, NAME};
+use crate::{Id, Incarnation, Reach, NAME};
 
-/// Accusers that are named of a member.
-const ACCUSERS: usize = 4;
+/// Suspecting observers that are listed per member.
+const MAX_ACCUSERS: usize = 4;
 
-/// Asks for the member at this place.
+/// Requests the page with this index; the answer repeats the token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ask {
     pub token: u32,
     pub index: u16,
 }
 
-/// The view as a whole, and the member at one place.
+/// Summary of the view, and the member at one index of the table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Page {
     pub token: u32,
     pub index: u16,
+    /// Number and digest of the view.
     pub number: u32,
     pub digest: u64,
     pub settled: bool,
     pub cut_off: bool,
-    /// None past the last place.
+    /// `None` past the last index.
     pub member: Option<Shown>,
 }
 
+/// A member as shown to a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Shown {
     pub name: String,
-    pub life: Life,
+    pub life: Incarnation,
     pub address: SocketAddr,
     pub state: State,
-    /// Whether the view shows it.
+    /// Whether this incarnation is in the view.
     pub shown: bool,
-    /// For how long it has been in this state, in milliseconds.
+    /// Time since it entered its state, in milliseconds.
     pub since_ms: u32,
+    /// Observers that suspect it.
     pub accusers: Vec<Id>,
     pub reach: Reach,
-    /// Number and digest of the view that it last said it has.
+    /// Number and digest of the view that it last reported.
     pub view: Option<(u32, u64)>,
 }
 
@@ -61,6 +64,7 @@
     }
 }
 
+// Flags of a page.
 const SETTLED: u8 = 1;
 const CUT_OFF: u8 = 2;
 const MEMBER: u8 = 4;
@@ -95,7 +99,7 @@
         body.put_u64(digest);
         body.put_u8(member.name.len() as u8);
         body.put_slice(member.name.as_bytes());
-        member.accusers.iter().take(ACCUSERS).for_each(|accuser| body.put_u64(*accuser));
+        member.accusers.iter().take(MAX_ACCUSERS).for_each(|accuser| body.put_u64(*accuser));
         body
     }
 
--- a/crates/view/src/table.rs
+++ b/crates/view/src/table.rs
@@ -1,228 +1,244 @@
-//! What a steward knows of the others: for each name its newest life, and what is said of it.
+//! The membership table: for each name the record of its newest incarnation, and the votes on it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use crate::wire::Range;
-use crate::{mix, Id, Life, Reach, Time};
+use crate::{mix, Id, Incarnation, Reach, Time};
 
+/// State of a member's incarnation; the higher one wins when records of an incarnation are merged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum State {
     In,
-    /// It said so.
+    /// It left by its own request.
     Left,
-    /// The others said so; final for this life.
+    /// It was dropped by the others; final for this incarnation.
     Gone,
 }
 
-/// What is told of a member.
+/// The replicated state of a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Of the name.
+    /// Hash of the name.
     pub id: Id,
     pub name: String,
     pub address: SocketAddr,
-    pub life: Life,
-    /// Raised by the member itself alone, to answer words against it.
-    pub count: u32,
+    pub incarnation: Incarnation,
+    /// Raised only by the member itself, to refute suspicions of it (the incarnation number of SWIM).
+    pub refutations: u32,
     pub state: State,
 }
 
 impl Record {
-    /// A later life counts for more; within a life its end does, and else the higher count.
-    fn rank(&self) -> (Life, State, u32) {
-        (self.life, self.state, self.count)
+    /// Merge order: the newer incarnation wins; within one its end does, else the higher refutation count.
+    fn rank(&self) -> (Incarnation, State, u32) {
+        (self.incarnation, self.state, self.refutations)
     }
 
     fn hash(&self) -> u64 {
         let state = self.state as u64 + 1;
-        mix(self.id ^ mix(self.life ^ mix(u64::from(self.count) << 2 | state)))
+        mix(self.id ^ mix(self.incarnation ^ mix(u64::from(self.refutations) << 2 | state)))
     }
 }
 
-/// One member's word on whether another answers it.
+/// An observer's vote on whether another member answers it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Word {
-    pub of: Id,
-    pub life: Life,
-    pub count: u32,
-    pub by: Id,
-    /// A later word of the same member takes the place of an earlier one.
+pub struct Vote {
+    pub subject: Id,
+    pub incarnation: Incarnation,
+    pub refutations: u32,
+    pub observer: Id,
+    /// A later vote replaces an earlier one of the same observer.
     pub seq: u16,
-    pub accuses: bool,
+    /// True for a suspicion, false if the subject answers.
+    pub suspects: bool,
 }
 
+/// What the table holds of one name.
 #[derive(Clone, Debug)]
 pub struct Entry {
     pub record: Record,
-    pub since: Time,
-    /// Words on this life at this count.
-    pub words: Vec<Word>,
-    /// Since when there has been an accusation among them.
-    pub accused: Option<Time>,
-    /// Since when enough have accused it to drop it: two, and more than vouch for it.
-    pub outvoted: Option<Time>,
-    /// What it last said of itself: its view's number and digest, the forwarders it reaches, and when that was heard.
-    pub view: Option<(u32, u64)>,
-    pub reach: Reach,
-    pub heard: Time,
-    /// Since when its copy of the table has been another than this one's.
-    pub differs: Option<Time>,
+    /// When the incarnation entered its state.
+    pub state_since: Time,
+    /// Votes on this incarnation at this refutation count.
+    pub votes: Vec<Vote>,
+    /// Since when at least one vote has been a suspicion.
+    pub suspected_since: Option<Time>,
+    /// Since when enough observers have suspected it to drop it: at least two, and more than vote it alive.
+    pub suspect_majority_since: Option<Time>,
+    /// Number and digest of its view as last reported by it.
+    pub reported_view: Option<(u32, u64)>,
+    /// Forwarders joined to it as last reported by it.
+    pub forwarders: Reach,
+    /// When its last status was received.
+    pub reported_at: Time,
+    /// Since when its table has differed from this member's.
+    pub differs_since: Option<Time>,
 }
 
 impl Entry {
-    pub fn accusers(&self) -> usize {
-        self.words.iter().filter(|word| word.accuses).count()
+    pub fn suspect_votes(&self) -> usize {
+        self.votes.iter().filter(|vote| vote.suspects).count()
     }
 
-    pub fn vouchers(&self) -> usize {
-        self.words.len() - self.accusers()
+    pub fn alive_votes(&self) -> usize {
+        self.votes.len() - self.suspect_votes()
     }
 
-    /// Whether more members accuse it than vouch for it, two at the least.
-    pub fn is_outvoted(&self) -> bool {
-        self.accusers() >= ACCUSERS && self.accusers() > self.vouchers()
+    /// Returns true if at least two observers suspect it, and more than vote it alive.
+    pub fn has_suspect_majority(&self) -> bool {
+        self.suspect_votes() >= MIN_SUSPECT_VOTES && self.suspect_votes() > self.alive_votes()
     }
 }
 
-/// What merging a record came to.
+/// Result of merging a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Merged {
-    News,
-    Known,
-    /// What is known is newer.
-    Older,
-    /// The table is full, and nothing in it may give way.
-    Refused,
+    Changed,
+    /// The same record is in the table.
+    Unchanged,
+    /// The table has a newer record.
+    Stale,
+    /// The table holds [`MAX_NAMES`] live members, so that none may be evicted.
+    TableFull,
 }
 
+/// Records of all known names, the lost ones included.
 #[derive(Debug, Default)]
 pub struct Table {
     pub entries: BTreeMap<Id, Entry>,
-    /// Of all records, in any order.
+    /// Digest of all records, independent of their order.
     pub digest: u64,
-    /// Of the names and lives that are in.
-    pub view: u64,
-    pub members: usize,
-    /// Raised with each change of who is in.
+    /// Digest of the names and incarnations of current members.
+    pub members_digest: u64,
+    pub member_count: usize,
+    /// Raised with each change of the current members.
     pub version: u64,
 }
 
-/// Names kept at most, those of the lost included. At the bound the name lost for the longest gives way.
-pub const MOST: usize = 4_096;
+/// Names in the table, the lost ones included. Beyond it the name lost for the longest is evicted.
+pub const MAX_NAMES: usize = 4_096;
 
-/// Words kept of a member: more than the members that watch it, on either side.
-const WORDS: usize = 16;
+/// Votes kept per member: more than its observers, those of both outcomes together.
+const MAX_VOTES_PER_MEMBER: usize = 16;
 
-/// Members that have to accuse another before it is dropped.
-const ACCUSERS: usize = 2;
+/// Suspecting observers that it takes to drop a member.
+const MIN_SUSPECT_VOTES: usize = 2;
 
-/// Members that watch another.
+/// Observers per member, one on each ring.
 pub const OBSERVERS: u64 = 5;
 
 impl Table {
-    fn count(&mut self, record: &Record, there: bool) {
+    /// Adds a record to the digests and counts, or takes it out.
+    fn update_totals(&mut self, record: &Record, added: bool) {
         self.digest ^= record.hash();
         if record.state == State::In {
-            self.view ^= mix(record.id ^ mix(record.life));
-            self.members = if there { self.members + 1 } else { self.members - 1 };
+            self.members_digest ^= mix(record.id ^ mix(record.incarnation));
+            self.member_count = if added { self.member_count + 1 } else { self.member_count - 1 };
             self.version += 1;
         }
     }
 
-    pub fn get(&self, of: Id) -> Option<&Entry> {
-        self.entries.get(&of)
+    pub fn get(&self, id: Id) -> Option<&Entry> {
+        self.entries.get(&id)
     }
 
-    pub fn is_in(&self, of: Id) -> bool {
-        self.get(of).is_some_and(|entry| entry.record.state == State::In)
+    pub fn is_member(&self, id: Id) -> bool {
+        self.get(id).is_some_and(|entry| entry.record.state == State::In)
     }
 
+    /// Takes a record in unless the table has the same or a newer one.
     pub fn merge(&mut self, now: Time, record: &Record) -> Merged {
-        let of = record.id;
-        let known = self.entries.get(&of).map(|entry| (entry.record.rank(), entry.record.clone()));
+        let id = record.id;
+        let known = self.entries.get(&id).map(|entry| (entry.record.rank(), entry.record.clone()));
         match &known {
-            Some((rank, _)) if *rank == record.rank() => return Merged::Known,
-            Some((rank, _)) if *rank > record.rank() => return Merged::Older,
-            None if self.entries.len() >= MOST && !self.evict() => return Merged::Refused,
+            Some((rank, _)) if *rank == record.rank() => return Merged::Unchanged,
+            Some((rank, _)) if *rank > record.rank() => return Merged::Stale,
+            None if self.entries.len() >= MAX_NAMES && !self.evict() => return Merged::TableFull,
             _ => {}
         }
         if let Some((_, old)) = &known {
-            self.count(old, false);
+            self.update_totals(old, false);
         }
-        self.count(record, true);
-        let same_life = known.as_ref().is_some_and(|(_, old)| old.life == record.life);
+        self.update_totals(record, true);
+        let same_life = known.as_ref().is_some_and(|(_, old)| old.incarnation == record.incarnation);
         let still = same_life && known.is_some_and(|(_, old)| old.state == record.state);
-        let entry = self.entries.entry(of).or_insert_with(|| Entry {
+        let entry = self.entries.entry(id).or_insert_with(|| Entry {
             record: record.clone(),
-            since: now,
-            words: Vec::new(),
-            accused: None,
-            outvoted: None,
-            view: None,
-            reach: Reach::default(),
-            heard: Time::MIN / 2,
-            differs: None,
+            state_since: now,
+            votes: Vec::new(),
+            suspected_since: None,
+            suspect_majority_since: None,
+            reported_view: None,
+            forwarders: Reach::default(),
+            reported_at: Time::MIN / 2,
+            differs_since: None,
         });
         entry.record = record.clone();
-        // A higher count answers all words on the one before.
-        entry.words.clear();
-        (entry.accused, entry.outvoted) = (None, None);
+        // Any newer record makes the votes on the former one void.
+        entry.votes.clear();
+        (entry.suspected_since, entry.suspect_majority_since) = (None, None);
         if !still {
-            entry.since = now;
+            entry.state_since = now;
         }
         if !same_life {
-            (entry.view, entry.reach, entry.heard) = (None, Reach::default(), Time::MIN / 2);
+            (entry.reported_view, entry.forwarders, entry.reported_at) =
+                (None, Reach::default(), Time::MIN / 2);
         }
-        Merged::News
+        Merged::Changed
     }
 
+    /// Removes the name lost for the longest. Returns false if all are current members.
     fn evict(&mut self) -> bool {
         let lost = self.entries.iter().filter(|(_, entry)| entry.record.state != State::In);
-        let Some(oldest) = lost.min_by_key(|(of, entry)| (entry.since, **of)).map(|(of, _)| *of) else {
+        let Some(oldest) = lost.min_by_key(|(id, entry)| (entry.state_since, **id)).map(|(id, _)| *id) else {
             return false;
         };
         if let Some(entry) = self.entries.remove(&oldest) {
-            self.count(&entry.record, false);
+            self.update_totals(&entry.record, false);
         }
         true
     }
 
-    /// Takes a word in. Whether it was news.
-    pub fn word(&mut self, now: Time, word: Word) -> bool {
-        let Some(entry) = self.entries.get_mut(&word.of) else { return false };
-        let of = &entry.record;
-        if of.state != State::In || (of.life, of.count) != (word.life, word.count) {
+    /// Records a vote. Returns true if it is newer than the observer's former one and refers to the current record.
+    pub fn record_vote(&mut self, now: Time, vote: Vote) -> bool {
+        let Some(entry) = self.entries.get_mut(&vote.subject) else { return false };
+        let record = &entry.record;
+        if record.state != State::In
+            || (record.incarnation, record.refutations) != (vote.incarnation, vote.refutations)
+        {
             return false;
         }
-        match entry.words.iter().position(|known| known.by == word.by) {
-            // Numbers travel modulo 65536.
-            Some(at) if word.seq.wrapping_sub(entry.words[at].seq) as i16 <= 0 => return false,
-            Some(at) => entry.words[at] = word,
-            None if entry.words.len() >= WORDS => return false,
-            None => entry.words.push(word),
+        match entry.votes.iter().position(|known| known.observer == vote.observer) {
+            // Sequence numbers wrap around at 65536.
+            Some(at) if vote.seq.wrapping_sub(entry.votes[at].seq) as i16 <= 0 => return false,
+            Some(at) => entry.votes[at] = vote,
+            None if entry.votes.len() >= MAX_VOTES_PER_MEMBER => return false,
+            None => entry.votes.push(vote),
         }
-        if entry.accusers() == 0 {
-            entry.accused = None;
+        if entry.suspect_votes() == 0 {
+            entry.suspected_since = None;
         } else {
-            entry.accused.get_or_insert(now);
+            entry.suspected_since.get_or_insert(now);
         }
-        entry.outvoted = entry.is_outvoted().then(|| entry.outvoted.unwrap_or(now));
+        entry.suspect_majority_since =
+            entry.has_suspect_majority().then(|| entry.suspect_majority_since.unwrap_or(now));
         true
     }
 
+    /// Current members, this one included.
     pub fn members(&self) -> impl Iterator<Item = (Id, &Entry)> {
-        let all = self.entries.iter().map(|(of, entry)| (*of, entry));
+        let all = self.entries.iter().map(|(id, entry)| (*id, entry));
         all.filter(|(_, entry)| entry.record.state == State::In)
     }
 
-    /// Whom a member watches: the next one on each of so many rings, on which names stand in another order.
-    pub fn subjects(&self, of: Id) -> Vec<Id> {
+    /// The members that `observer` probes: its successor on each of [`OBSERVERS`] rings, each in its own pseudo-random order.
+    pub fn subjects(&self, observer: Id) -> Vec<Id> {
         let mut subjects: Vec<Id> = (0..OBSERVERS)
             .filter_map(|ring| {
                 let place = |id: Id| mix(id ^ mix(ring));
-                let own = place(of);
-                let others = self.members().map(|(id, _)| id).filter(|&id| id != of);
+                let own = place(observer);
+                let others = self.members().map(|(id, _)| id).filter(|&id| id != observer);
                 others.min_by_key(|&id| (place(id).wrapping_sub(own), id))
             })
             .collect();
@@ -235,7 +251,7 @@
         self.entries.range(range.first()..=range.last()).map(|(_, entry)| entry)
     }
 
-    pub fn digest_of(&self, range: Range) -> u64 {
+    pub fn range_digest(&self, range: Range) -> u64 {
         self.in_range(range).fold(0, |sum, entry| sum ^ entry.record.hash())
     }
 }
--- a/crates/view/src/view.rs
+++ b/crates/view/src/view.rs
@@ -9,184 +9,197 @@
 
 use bytes::BufMut;
 
-use crate::gossip::{About, Spread};
-use crate::probe::{Helped, Probes, HELPED, PATIENCE};
+use crate::gossip::{GossipKey, GossipQueue};
+use crate::probe::{IndirectProbe, Probes, MAX_BACKOFF, MAX_INDIRECT_PROBES};
 use crate::show::{Ask, Page, Shown};
-use crate::table::{Merged, Record, State, Table, Word};
-use crate::wire::{Item, Kind, Range, Said, BODY, SAID};
-use crate::{id, Id, Life, Reach, Send, Settings, Time};
+use crate::table::{Merged, Record, State, Table, Vote};
+use crate::wire::{Item, Kind, Range, SenderStatus, MAX_BODY_LENGTH, STATUS_LENGTH};
+use crate::{id, Id, Incarnation, Reach, Send, Settings, Time};
 
-/// What on-call staff want to know, and what is bounded.
+/// Counters and queue lengths for the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Figures {
+    /// Datagrams sent, and the bytes of their bodies.
     pub sent: u64,
     pub sent_bytes: u64,
+    /// Malformed bodies received.
     pub unreadable: u64,
-    /// Datagrams that were left out and probes for others that were not made, at their bounds.
+    /// Datagrams dropped because too many waited to be sent.
     pub left_out: u64,
+    /// Requests for indirect probes refused because too many were in flight.
     pub unhelped: u64,
-    /// News that wait, and those that gave way at the bound.
+    /// Updates queued, and updates dropped because the queue was full.
     pub news: usize,
     pub news_dropped: u64,
+    /// Names in the membership table, the lost ones included.
     pub names: usize,
     /// Views shown so far.
     pub changes: u64,
-    /// Lives that this steward had.
+    /// Incarnations of this steward since its process started.
     pub lives: u64,
-    /// Comparisons begun.
+    /// Table comparisons started.
     pub comparisons: u64,
-    /// Times that this process was found not to have run for a round or more.
+    /// Times that this process was found to have been paused for a round or more.
     pub stalls: u64,
 }
 
-/// Datagrams that wait to be sent at most: past it those that come later are left out, as if the network had lost them.
-const OUT: usize = 512;
+/// Datagrams that may wait to be sent; further ones are dropped, as if the network had lost them.
+const MAX_QUEUED_SENDS: usize = 512;
 
-/// Others that are asked to probe in one's place.
-const HELPERS: usize = 3;
+/// Members asked for an indirect probe of a target that has not answered.
+const PROBE_HELPERS: usize = 3;
 
-/// Rounds without an answer by anybody after which a member takes itself for cut off.
-const CUT_OFF: Time = 8;
+/// Rounds without any answer after which a member considers itself cut off.
+const CUT_OFF_ROUNDS: Time = 8;
 
-/// Rounds between two knocks at an address where the fleet may be.
-const KNOCK: u64 = 5;
+/// Rounds between two probes of lost members and configured peers.
+const REJOIN_PROBE_ROUNDS: u64 = 5;
 
+/// The membership protocol of one steward: probes, votes, gossip, anti-entropy, and the view that comes of them.
 pub struct View {
     cfg: Settings,
     rng: fastrand::Rng,
     me: Id,
     table: Table,
-    /// Whom this member watches, and for which version of the table.
-    watches: (u64, Vec<Id>),
+    /// The members that this one observes, with the table version that they were computed for.
+    subjects_cache: (u64, Vec<Id>),
     probes: Probes,
-    spread: Spread,
-    out: VecDeque<Send>,
+    gossip: GossipQueue,
+    outgoing: VecDeque<Send>,
     seq: u32,
     round: u64,
-    /// When the next round begins, when those silent in this one are asked for by others, when news go out by themselves.
+    /// When the next round begins.
     round_at: Time,
-    ask_at: Time,
-    news_at: Time,
-    /// This member was late for the end of its round, which waits for what came meanwhile.
-    overdue: bool,
-    /// When somebody last answered a probe of this member.
-    answered: Time,
-    /// A comparison is not begun before this.
-    compare_at: Time,
-    /// The members shown, their number and digest, and since when the table is another.
-    shown: BTreeMap<Id, Life>,
-    number: u32,
-    digest: u64,
+    /// When indirect probes of the targets that have not answered are requested.
+    indirect_at: Time,
+    /// When updates are sent in datagrams of their own.
+    gossip_at: Time,
+    /// The end of the round came late and was put off once, to take in the datagrams that arrived meanwhile.
+    round_end_deferred: bool,
+    /// When a probe of this member was last answered.
+    last_answer_at: Time,
+    /// The earliest time of the next comparison.
+    next_compare_at: Time,
+    /// Members of the current view.
+    shown: BTreeMap<Id, Incarnation>,
+    view_number: u32,
+    view_digest: u64,
+    /// When the table last and first changed since the current view.
     changed: Option<(Time, Time)>,
-    /// A new life is taken up then; rounds that it waits, doubled each time.
-    again_at: Option<Time>,
-    again: u32,
-    last_life: Time,
+    /// When this member starts a new incarnation after it was dropped.
+    rejoin_at: Option<Time>,
+    /// Recent rejoins; the wait doubles with each.
+    rejoin_attempts: u32,
+    last_incarnation_at: Time,
     leaving: bool,
     figures: Figures,
 }
 
 impl View {
-    /// A member from now on. `life`: higher than that of any start before; the wall clock will do.
-    pub fn new(now: Time, life: Life, seed: u64, cfg: Settings) -> View {
+    /// Joins as a member. The incarnation must be higher than at any earlier start, such as wall-clock milliseconds.
+    pub fn new(now: Time, incarnation: Incarnation, seed: u64, cfg: Settings) -> View {
         let mut rng = fastrand::Rng::with_seed(seed);
         let me = id(&cfg.name);
         let mut table = Table::default();
         let name = cfg.name.clone();
-        table.merge(now, &Record { id: me, name, address: cfg.address, life, count: 0, state: State::In });
-        // Spread over the round, so that stewards that start together don't probe together.
+        table.merge(
+            now,
+            &Record { id: me, name, address: cfg.address, incarnation, refutations: 0, state: State::In },
+        );
+        // A random phase, so that stewards that start together don't probe together.
         let round_at = now + rng.i64(0..=cfg.round / 2);
-        let (seq, round) = (rng.u32(..), rng.u64(..KNOCK));
+        let (seq, round) = (rng.u32(..), rng.u64(..REJOIN_PROBE_ROUNDS));
         let mut view = View {
             me,
             rng,
             table,
-            watches: (0, Vec::new()),
+            subjects_cache: (0, Vec::new()),
             probes: Probes::default(),
-            spread: Spread::default(),
-            out: VecDeque::new(),
+            gossip: GossipQueue::default(),
+            outgoing: VecDeque::new(),
             seq,
             round,
             round_at,
-            ask_at: Time::MAX,
-            news_at: Time::MAX,
-            overdue: false,
-            answered: now,
-            compare_at: now,
+            indirect_at: Time::MAX,
+            gossip_at: Time::MAX,
+            round_end_deferred: false,
+            last_answer_at: now,
+            next_compare_at: now,
             shown: BTreeMap::new(),
-            number: 0,
-            digest: 0,
+            view_number: 0,
+            view_digest: 0,
             changed: None,
-            again_at: None,
-            again: 0,
-            last_life: now,
+            rejoin_at: None,
+            rejoin_attempts: 0,
+            last_incarnation_at: now,
             leaving: false,
             figures: Figures { lives: 1, ..Figures::default() },
             cfg,
         };
-        view.spread.add(About::Record(me));
+        view.gossip.add(GossipKey::Record(me));
         view.show();
         view
     }
 
-    pub fn life(&self) -> Life {
-        self.table.get(self.me).map_or(0, |entry| entry.record.life)
+    /// This member's current incarnation.
+    pub fn incarnation(&self) -> Incarnation {
+        self.table.get(self.me).map_or(0, |entry| entry.record.incarnation)
     }
 
-    /// What this steward reaches, to be told to the others.
+    /// Sets the forwarders joined to this steward, which it reports to the others.
     pub fn set_reach(&mut self, reach: Reach) {
         if let Some(own) = self.table.entries.get_mut(&self.me) {
-            own.reach = reach;
+            own.forwarders = reach;
         }
     }
 
-    /// Number and digest of the view that is shown.
+    /// Number and digest of the current view.
     pub fn shown(&self) -> (u32, u64) {
-        (self.number, self.digest)
+        (self.view_number, self.view_digest)
     }
 
-    /// Names that the view shows, with their lives.
-    pub fn names(&self) -> impl Iterator<Item = (&str, Life)> {
-        let name = |of: &Id| self.table.get(*of).map_or("", |entry| entry.record.name.as_str());
-        self.shown.iter().map(move |(of, life)| (name(of), *life))
+    /// Names in the view, with their incarnations.
+    pub fn names(&self) -> impl Iterator<Item = (&str, Incarnation)> {
+        let name = |id: &Id| self.table.get(*id).map_or("", |entry| entry.record.name.as_str());
+        self.shown.iter().map(move |(id, incarnation)| (name(id), *incarnation))
     }
 
-    /// Where the others in the view are reached.
+    /// Addresses of the other members in the view.
     pub fn addresses(&self) -> impl Iterator<Item = SocketAddr> + '_ {
-        let others = self.shown.keys().filter(|of| **of != self.me);
-        others.filter_map(|of| self.table.get(*of)).map(|entry| entry.record.address)
+        let others = self.shown.keys().filter(|id| **id != self.me);
+        others.filter_map(|id| self.table.get(*id)).map(|entry| entry.record.address)
     }
 
-    /// What the others in the view said last that they reach.
+    /// The forwarders that the other members in the view last reported as joined to them.
     pub fn reaches(&self) -> impl Iterator<Item = Reach> + '_ {
-        let others = self.shown.keys().filter(|of| **of != self.me);
+        let others = self.shown.keys().filter(|id| **id != self.me);
         others
-            .filter_map(|of| self.table.get(*of))
-            .filter(|entry| entry.view.is_some())
-            .map(|entry| entry.reach)
+            .filter_map(|id| self.table.get(*id))
+            .filter(|entry| entry.reported_view.is_some())
+            .map(|entry| entry.forwarders)
     }
 
-    /// The whole view and the member at a place among all that are known, the lost ones as well.
+    /// Summary of the view and the entry at an index of all known names, the lost ones included.
     pub fn page(&self, now: Time, ask: &Ask) -> Page {
-        let member = self.table.entries.iter().nth(usize::from(ask.index)).map(|(of, entry)| Shown {
+        let member = self.table.entries.iter().nth(usize::from(ask.index)).map(|(id, entry)| Shown {
             name: entry.record.name.clone(),
-            life: entry.record.life,
+            life: entry.record.incarnation,
             address: entry.record.address,
             state: entry.record.state,
-            shown: self.shown.get(of) == Some(&entry.record.life),
-            since_ms: ((now - entry.since) / 10).clamp(0, i64::from(u32::MAX)) as u32,
-            accusers: entry.words.iter().filter(|word| word.accuses).map(|word| word.by).collect(),
-            reach: entry.reach,
-            view: match *of == self.me {
-                true => Some((self.number, self.digest)),
-                false => entry.view,
+            shown: self.shown.get(id) == Some(&entry.record.incarnation),
+            since_ms: ((now - entry.state_since) / 10).clamp(0, i64::from(u32::MAX)) as u32,
+            accusers: entry.votes.iter().filter(|vote| vote.suspects).map(|vote| vote.observer).collect(),
+            reach: entry.forwarders,
+            view: match *id == self.me {
+                true => Some((self.view_number, self.view_digest)),
+                false => entry.reported_view,
             },
         });
         Page {
             token: ask.token,
             index: ask.index,
-            number: self.number,
-            digest: self.digest,
+            number: self.view_number,
+            digest: self.view_digest,
             settled: self.is_settled(now),
             cut_off: self.is_cut_off(now),
             member,
@@ -195,137 +208,141 @@
 
     pub fn figures(&self) -> Figures {
         Figures {
-            news: self.spread.len(),
-            news_dropped: self.spread.dropped,
+            news: self.gossip.len(),
+            news_dropped: self.gossip.dropped,
             names: self.table.entries.len(),
             ..self.figures
         }
     }
 
-    /// Nobody answers: what is shown is this steward alone.
+    /// Returns true if no member has answered for `CUT_OFF_ROUNDS` rounds, so that the view is out of date.
     pub fn is_cut_off(&self, now: Time) -> bool {
-        self.table.members > 1 && now - self.answered > CUT_OFF * self.cfg.round
+        self.table.member_count > 1 && now - self.last_answer_at > CUT_OFF_ROUNDS * self.cfg.round
     }
 
-    /// Whether everybody who is in the view and was heard of lately shows the same one, nobody is accused, and nothing is
-    /// about to change. In a large fleet it is those heard of lately that say so.
+    /// Returns true if all members with a recent status report this same view, none is suspected, and no change is
+    /// pending. In a fleet of more than 32, members without a recent status are passed over.
     pub fn is_settled(&self, now: Time) -> bool {
-        // Each member greets all others in turn.
-        let lately = (self.table.members as Time + 10).min(64) * self.cfg.round;
+        // Each member probes all others in turn.
+        let recent = (self.table.member_count as Time + 10).min(64) * self.cfg.round;
         let same = |entry: &crate::Entry| {
-            let heard = entry.view.filter(|_| now - entry.heard <= lately);
-            match heard {
-                Some((_, digest)) => digest == self.digest,
-                None => self.table.members > 32,
+            let reported = entry.reported_view.filter(|_| now - entry.reported_at <= recent);
+            match reported {
+                Some((_, digest)) => digest == self.view_digest,
+                None => self.table.member_count > 32,
             }
         };
-        let mut others = self.table.members().filter(|(of, _)| *of != self.me);
+        let mut others = self.table.members().filter(|(id, _)| *id != self.me);
         !self.is_cut_off(now)
             && self.changed.is_none()
-            && others.all(|(_, entry)| same(entry) && entry.accused.is_none())
+            && others.all(|(_, entry)| same(entry) && entry.suspected_since.is_none())
     }
 
-    /// Says to the others that it leaves; the process may end after what [`View::poll`] hands out now.
+    /// Leaves the fleet. The process may end once the datagrams that [`View::poll`] now returns are sent.
     pub fn leave(&mut self, now: Time) {
         let Some(own) = self.table.get(self.me).map(|entry| entry.record.clone()) else { return };
         self.leaving = true;
         self.table.merge(now, &Record { state: State::Left, ..own });
-        self.spread.add(About::Record(self.me));
-        for to in self.some(2 * HELPERS) {
-            self.send_news(to);
+        self.gossip.add(GossipKey::Record(self.me));
+        for to in self.random_members(2 * PROBE_HELPERS) {
+            self.send_gossip(to);
         }
     }
 
+    /// When [`View::handle_timeout`] is due next.
     pub fn next_timeout(&self) -> Time {
         let changed = self.changed.map_or(Time::MAX, |(last, first)| self.show_at(last, first));
-        let again = self.again_at.unwrap_or(Time::MAX);
-        self.round_at.min(self.ask_at).min(self.news_at).min(changed).min(again)
+        let rejoin = self.rejoin_at.unwrap_or(Time::MAX);
+        self.round_at.min(self.indirect_at).min(self.gossip_at).min(changed).min(rejoin)
     }
 
+    /// The next datagram to send.
     pub fn poll(&mut self) -> Option<Send> {
-        let send = self.out.pop_front()?;
+        let send = self.outgoing.pop_front()?;
         self.figures.sent += 1;
         self.figures.sent_bytes += send.body.len() as u64;
         Some(send)
     }
 
+    /// Carries out what is due.
     pub fn handle_timeout(&mut self, now: Time) {
         if now < self.next_timeout() || self.leaving {
             return;
         }
-        // Guards against taking one's own standstill for the others' silence: nothing of it counts.
+        // This process was paused: missed answers of that time must not count against the other members.
         if now - self.round_at > self.cfg.round {
             self.figures.stalls += 1;
             let gap = now - self.round_at;
-            self.probes.forgive();
-            self.answered += gap;
+            self.probes.discard_pending();
+            self.last_answer_at += gap;
             for entry in self.table.entries.values_mut() {
-                entry.accused = entry.accused.map(|at| at + gap);
-                entry.outvoted = entry.outvoted.map(|at| at + gap);
+                entry.suspected_since = entry.suspected_since.map(|at| at + gap);
+                entry.suspect_majority_since = entry.suspect_majority_since.map(|at| at + gap);
             }
         }
-        if self.again_at.is_some_and(|at| now >= at) {
-            self.new_life(now);
+        if self.rejoin_at.is_some_and(|at| now >= at) {
+            self.start_incarnation(now);
         }
-        if now >= self.ask_at {
-            self.ask_at = Time::MAX;
-            self.ask();
+        if now >= self.indirect_at {
+            self.indirect_at = Time::MAX;
+            self.request_indirect_probes();
         }
         let late = now - self.round_at;
-        if late > self.cfg.round / 10 && late <= self.cfg.round && !self.overdue {
-            // Answers may have come meanwhile and wait to be taken in: they count.
-            self.overdue = true;
+        if late > self.cfg.round / 10 && late <= self.cfg.round && !self.round_end_deferred {
+            // Answers may already wait in the socket, and count for this round.
+            self.round_end_deferred = true;
             self.round_at = now + self.cfg.round / 20;
         } else if now >= self.round_at {
-            self.overdue = false;
+            self.round_end_deferred = false;
             self.end_round(now);
-            self.judge(now);
+            self.drop_failed(now);
             self.begin_round(now);
         }
-        if now >= self.news_at {
-            self.news_at = Time::MAX;
-            for to in self.some(2) {
-                self.send_news(to);
+        if now >= self.gossip_at {
+            self.gossip_at = Time::MAX;
+            for to in self.random_members(2) {
+                self.send_gossip(to);
             }
-            self.wake_for_news(now);
+            self.schedule_gossip(now);
         }
-        self.show_when_still(now);
+        self.show_when_stable(now);
     }
 
-    /// A datagram whose envelope was found good: where it came from, what it is, and what it says.
+    /// Handles the body of a datagram whose envelope was verified.
     pub fn handle(&mut self, now: Time, from: SocketAddr, kind: Kind, body: &[u8]) {
-        if self.leaving || body.len() > BODY || !self.read(now, from, kind, body) {
+        if self.leaving || body.len() > MAX_BODY_LENGTH || !self.read(now, from, kind, body) {
             self.figures.unreadable += u64::from(!self.leaving);
         }
-        self.wake_for_news(now);
+        self.schedule_gossip(now);
     }
 
+    /// Returns false if the body is malformed.
     fn read(&mut self, now: Time, from: SocketAddr, kind: Kind, mut body: &[u8]) -> bool {
         match kind {
             Kind::Ping | Kind::Ack => {
-                let Some(said) = Said::read(&mut body) else { return false };
+                let Some(status) = SenderStatus::read(&mut body) else { return false };
                 let Some(items) = Item::read_all(body) else { return false };
                 items.into_iter().for_each(|item| self.learn(now, item));
-                self.said(now, &said);
+                self.handle_status(now, &status);
                 if kind == Kind::Ping {
-                    self.answer(now, from, &said);
+                    self.send_ack(now, from, &status);
                 } else {
-                    self.answered_by(now, &said);
+                    self.handle_ack(now, &status);
                 }
-                self.compare(now, from, &said);
+                self.compare(now, from, &status);
                 true
             }
-            Kind::Ask => {
-                let (Some(seq), Some(of)) = (number::<4>(&mut body), number::<8>(&mut body)) else {
+            Kind::ProbeRequest => {
+                let (Some(seq), Some(id)) = (read_number::<4>(&mut body), read_number::<8>(&mut body)) else {
                     return false;
                 };
-                self.help(now, from, seq as u32, of);
+                self.relay_probe(now, from, seq as u32, id);
                 true
             }
-            Kind::Heard => {
-                let Some(seq) = number::<4>(&mut body) else { return false };
-                if self.probes.answered(seq as u32).is_some() {
-                    self.answered = now;
+            Kind::IndirectAck => {
+                let Some(seq) = read_number::<4>(&mut body) else { return false };
+                if self.probes.record_answer(seq as u32).is_some() {
+                    self.last_answer_at = now;
                 }
                 true
             }
@@ -335,20 +352,20 @@
                 items.into_iter().flatten().for_each(|item| self.learn(now, item));
                 readable
             }
-            Kind::Sum => {
+            Kind::Digests => {
                 let Some(range) = Range::read(&mut body) else { return false };
                 let mut digests = [0; Range::PARTS as usize];
                 for digest in &mut digests {
-                    let Some(told) = number::<8>(&mut body) else { return false };
-                    *digest = told;
+                    let Some(value) = read_number::<8>(&mut body) else { return false };
+                    *digest = value;
                 }
-                self.summed(from, range, &digests);
+                self.handle_digests(from, range, &digests);
                 true
             }
             Kind::Push => {
                 let Some(range) = Range::read(&mut body) else { return false };
                 let Some(items) = Item::read_all(body) else { return false };
-                self.pushed(now, from, range, items);
+                self.handle_push(now, from, range, items);
                 true
             }
             Kind::Show => {
@@ -357,152 +374,176 @@
                 self.send(from, Kind::Shown, page.write());
                 true
             }
-            // Whoever asked reads it elsewhere.
+            // Read by the clients that ask for pages, not by members.
             Kind::Shown => true,
         }
     }
 
-    // What is learnt.
+    // Updates received.
 
     fn learn(&mut self, now: Time, item: Item) {
         match item {
             Item::Record(record) => self.learn_record(now, &record),
-            Item::Word(word) if word.of == self.me => self.accused(now, &word),
-            Item::Word(word) => {
-                // One's own word comes back by others.
-                if word.by != self.me && self.table.word(now, word) {
-                    self.spread.add(About::Word(word.of, word.by));
-                } else if self
-                    .table
-                    .get(word.of)
-                    .is_some_and(|entry| (entry.record.life, entry.record.count) > (word.life, word.count))
-                {
-                    // It was answered, and whoever says so has not heard of it: on a bad link once is not enough.
-                    self.spread.add(About::Record(word.of));
+            Item::Vote(vote) if vote.subject == self.me => self.refute(now, &vote),
+            Item::Vote(vote) => {
+                // This member's own votes come back from others.
+                if vote.observer != self.me && self.table.record_vote(now, vote) {
+                    self.gossip.add(GossipKey::Vote(vote.subject, vote.observer));
+                } else if self.table.get(vote.subject).is_some_and(|entry| {
+                    (entry.record.incarnation, entry.record.refutations)
+                        > (vote.incarnation, vote.refutations)
+                }) {
+                    // The vote was refuted, but its sender does not know yet: on a bad link sending it once is not enough.
+                    self.gossip.add(GossipKey::Record(vote.subject));
                 }
             }
         }
     }
 
     fn learn_record(&mut self, now: Time, record: &Record) {
-        let of = record.id;
-        if of == self.me {
-            return self.told_of_itself(now, record);
+        let id = record.id;
+        if id == self.me {
+            return self.handle_own_record(now, record);
         }
         match self.table.merge(now, record) {
-            Merged::News => {
-                self.spread.add(About::Record(of));
-                let watched = self.probes.watched.get_mut(&of);
-                if let Some(watched) = watched.filter(|_| record.count > 0 && record.state == State::In) {
-                    // It answered: the word on it was wrong, or the link to it alone is bad.
-                    if watched.accuses {
-                        watched.patience = (2 * watched.patience + 1).min(PATIENCE);
+            Merged::Changed => {
+                self.gossip.add(GossipKey::Record(id));
+                let subject = self.probes.subjects.get_mut(&id);
+                if let Some(subject) = subject.filter(|_| record.refutations > 0 && record.state == State::In)
+                {
+                    // It refuted: the suspicion was wrong, or only the link to it is bad.
+                    if subject.suspected {
+                        subject.backoff = (2 * subject.backoff + 1).min(MAX_BACKOFF);
                     }
-                    (watched.strikes, watched.accuses) = (0, false);
+                    (subject.missed_rounds, subject.suspected) = (0, false);
                 }
-                self.touched(now);
+                self.mark_changed(now);
             }
-            // Whoever says so lags behind: it hears of it again.
-            Merged::Older if record.state == State::In => self.spread.add(About::Record(of)),
+            // The sender's table is out of date: the newer record is sent again.
+            Merged::Stale if record.state == State::In => self.gossip.add(GossipKey::Record(id)),
             _ => {}
         }
     }
 
-    /// Others have a record of this steward.
-    fn told_of_itself(&mut self, now: Time, record: &Record) {
+    /// Handles a record of this member itself, as others have it.
+    fn handle_own_record(&mut self, now: Time, record: &Record) {
         let Some(own) = self.table.get(self.me).map(|entry| entry.record.clone()) else { return };
-        if record.life > own.life || record.life == own.life && record.state != State::In {
-            // That life is over, or an earlier process had a clock that ran ahead: another one is taken up, later each
-            // time, so that a steward on a bad link does not come and go without end.
-            if self.again_at.is_none() {
-                let known = Record { life: record.life, ..own };
+        if record.incarnation > own.incarnation
+            || record.incarnation == own.incarnation && record.state != State::In
+        {
+            // This incarnation was dropped, or the clock of an earlier process ran ahead: start a new one, with an
+            // exponential backoff, so that a steward on a bad link does not come and go without end.
+            if self.rejoin_at.is_none() {
+                let known = Record { incarnation: record.incarnation, ..own };
                 self.table.merge(now, &Record { state: record.state.max(State::Left), ..known });
-                if now - self.last_life > 200 * self.cfg.round {
-                    self.again = 0;
+                if now - self.last_incarnation_at > 200 * self.cfg.round {
+                    self.rejoin_attempts = 0;
                 }
-                let wait = (1 << self.again.min(6)) * self.cfg.round / 2;
-                self.again += 1;
-                self.again_at = Some(now + wait + self.rng.i64(0..=self.cfg.round / 2));
-                self.touched(now);
+                let wait = (1 << self.rejoin_attempts.min(6)) * self.cfg.round / 2;
+                self.rejoin_attempts += 1;
+                self.rejoin_at = Some(now + wait + self.rng.i64(0..=self.cfg.round / 2));
+                self.mark_changed(now);
             }
-        } else if (record.life, record.count) < (own.life, own.count) || record.address != own.address {
-            self.spread.add(About::Record(self.me));
+        } else if (record.incarnation, record.refutations) < (own.incarnation, own.refutations)
+            || record.address != own.address
+        {
+            self.gossip.add(GossipKey::Record(self.me));
         }
     }
 
-    fn new_life(&mut self, now: Time) {
-        self.again_at = None;
-        self.last_life = now;
+    /// Rejoins with the next incarnation.
+    fn start_incarnation(&mut self, now: Time) {
+        self.rejoin_at = None;
+        self.last_incarnation_at = now;
         self.figures.lives += 1;
         let name = self.cfg.name.clone();
-        let life = self.life().saturating_add(1);
+        let incarnation = self.incarnation().saturating_add(1);
         self.table.merge(
             now,
-            &Record { id: self.me, name, address: self.cfg.address, life, count: 0, state: State::In },
+            &Record {
+                id: self.me,
+                name,
+                address: self.cfg.address,
+                incarnation,
+                refutations: 0,
+                state: State::In,
+            },
         );
-        self.spread.add(About::Record(self.me));
-        self.touched(now);
-        self.wake_for_news(now);
+        self.gossip.add(GossipKey::Record(self.me));
+        self.mark_changed(now);
+        self.schedule_gossip(now);
     }
 
-    /// A word against this steward itself.
-    fn accused(&mut self, now: Time, word: &Word) {
+    /// Answers a suspicion of this member's current record.
+    fn refute(&mut self, now: Time, vote: &Vote) {
         let Some(own) = self.table.get(self.me).map(|entry| entry.record.clone()) else { return };
-        if word.accuses && own.state == State::In && (word.life, word.count) == (own.life, own.count) {
-            self.table.merge(now, &Record { count: own.count.saturating_add(1), ..own });
-            self.spread.add(About::Record(self.me));
+        if vote.suspects
+            && own.state == State::In
+            && (vote.incarnation, vote.refutations) == (own.incarnation, own.refutations)
+        {
+            self.table.merge(now, &Record { refutations: own.refutations.saturating_add(1), ..own });
+            self.gossip.add(GossipKey::Record(self.me));
         }
     }
 
-    /// What a member says of itself.
-    fn said(&mut self, now: Time, said: &Said) {
-        if let Some(entry) =
-            self.table.entries.get_mut(&said.from).filter(|entry| entry.record.life == said.life)
+    /// Stores the view and forwarders that a member reports.
+    fn handle_status(&mut self, now: Time, status: &SenderStatus) {
+        if let Some(entry) = self
+            .table
+            .entries
+            .get_mut(&status.from)
+            .filter(|entry| entry.record.incarnation == status.incarnation)
         {
-            (entry.view, entry.reach, entry.heard) = (Some((said.number, said.view)), said.reach, now);
+            (entry.reported_view, entry.forwarders, entry.reported_at) =
+                (Some((status.view_number, status.view_digest)), status.forwarders, now);
         }
     }
 
-    fn answer(&mut self, now: Time, to: SocketAddr, said: &Said) {
-        let known = self.table.get(said.from).map(|entry| &entry.record);
-        let mut body = self.saying(said.seq);
-        if let Some(known) = known.filter(|known| known.life > said.life || known.state != State::In) {
-            // It is told at once that its life is over.
+    fn send_ack(&mut self, now: Time, to: SocketAddr, status: &SenderStatus) {
+        let known = self.table.get(status.from).map(|entry| &entry.record);
+        let mut body = self.status_body(status.seq);
+        if let Some(known) =
+            known.filter(|known| known.incarnation > status.incarnation || known.state != State::In)
+        {
+            // The sender's incarnation is over: it learns of that at once.
             Item::Record(known.clone()).write(&mut body);
         }
-        self.spread.fill(&self.table, Some(said.from), &mut body, BODY);
+        self.gossip.fill(&self.table, Some(status.from), &mut body, MAX_BODY_LENGTH);
         self.send(to, Kind::Ack, body);
-        self.wake_for_news(now);
+        self.schedule_gossip(now);
     }
 
-    fn answered_by(&mut self, now: Time, said: &Said) {
-        if self.probes.answered(said.seq).is_some() {
-            self.answered = now;
-        } else if let Some(helped) = self.probes.helped.remove(&said.seq) {
+    fn handle_ack(&mut self, now: Time, status: &SenderStatus) {
+        if self.probes.record_answer(status.seq).is_some() {
+            self.last_answer_at = now;
+        } else if let Some(indirect) = self.probes.indirect.remove(&status.seq) {
             let mut body = Vec::new();
-            body.put_u32(helped.seq);
-            self.send(helped.to, Kind::Heard, body);
+            body.put_u32(indirect.seq);
+            self.send(indirect.requester, Kind::IndirectAck, body);
         }
     }
 
-    fn help(&mut self, now: Time, to: SocketAddr, seq: u32, of: Id) {
-        self.probes.helped.retain(|_, helped| helped.until > now);
-        let Some(address) = self.table.get(of).map(|entry| entry.record.address) else { return };
-        if self.probes.helped.len() >= HELPED {
+    /// Probes a member at another's request.
+    fn relay_probe(&mut self, now: Time, requester: SocketAddr, seq: u32, id: Id) {
+        self.probes.indirect.retain(|_, indirect| indirect.expires_at > now);
+        let Some(address) = self.table.get(id).map(|entry| entry.record.address) else { return };
+        if self.probes.indirect.len() >= MAX_INDIRECT_PROBES {
             self.figures.unhelped += 1;
             return;
         }
-        let own = self.next_seq();
-        self.probes.helped.insert(own, Helped { to, seq, until: now + self.cfg.round });
-        self.send_probe(own, Some(of), address);
+        let own_seq = self.next_seq();
+        self.probes
+            .indirect
+            .insert(own_seq, IndirectProbe { requester, seq, expires_at: now + self.cfg.round });
+        self.send_probe(own_seq, Some(id), address);
     }
 
-    // What is sent.
+    // Sending.
 
-    /// Some others, by chance, each once.
-    fn some(&mut self, count: usize) -> Vec<Id> {
+    /// Up to `count` other members at random, each once.
+    fn random_members(&mut self, count: usize) -> Vec<Id> {
         let mut others: Vec<Id> =
-            self.table.members().map(|(of, _)| of).filter(|of| *of != self.me).collect();
+            self.table.members().map(|(id, _)| id).filter(|id| *id != self.me).collect();
         self.rng.shuffle(&mut others);
         others.truncate(count);
         others
@@ -513,55 +554,56 @@
         self.seq
     }
 
-    fn saying(&self, seq: u32) -> Vec<u8> {
+    /// A body that starts with this member's status.
+    fn status_body(&self, seq: u32) -> Vec<u8> {
         let own = self.table.get(self.me);
-        let said = Said {
+        let status = SenderStatus {
             seq,
             from: self.me,
-            life: self.life(),
-            number: self.number,
-            view: self.digest,
-            table: self.table.digest,
-            reach: own.map_or(Reach::default(), |own| own.reach),
+            incarnation: self.incarnation(),
+            view_number: self.view_number,
+            view_digest: self.view_digest,
+            table_digest: self.table.digest,
+            forwarders: own.map_or(Reach::default(), |own| own.forwarders),
         };
-        let mut body = Vec::with_capacity(BODY);
-        said.write(&mut body);
-        debug_assert_eq!(body.len(), SAID);
+        let mut body = Vec::with_capacity(MAX_BODY_LENGTH);
+        status.write(&mut body);
+        debug_assert_eq!(body.len(), STATUS_LENGTH);
         body
     }
 
-    fn send_probe(&mut self, seq: u32, of: Option<Id>, to: SocketAddr) {
-        let mut body = self.saying(seq);
-        self.spread.fill(&self.table, of, &mut body, BODY);
+    fn send_probe(&mut self, seq: u32, id: Option<Id>, to: SocketAddr) {
+        let mut body = self.status_body(seq);
+        self.gossip.fill(&self.table, id, &mut body, MAX_BODY_LENGTH);
         self.send(to, Kind::Ping, body);
     }
 
-    fn send_news(&mut self, to: Id) {
+    fn send_gossip(&mut self, to: Id) {
         let Some(address) = self.table.get(to).map(|entry| entry.record.address) else { return };
-        let mut body = Vec::with_capacity(BODY);
-        self.spread.fill(&self.table, Some(to), &mut body, BODY);
+        let mut body = Vec::with_capacity(MAX_BODY_LENGTH);
+        self.gossip.fill(&self.table, Some(to), &mut body, MAX_BODY_LENGTH);
         if !body.is_empty() {
             self.send(address, Kind::Gossip, body);
         }
     }
 
-    /// News don't wait for the next round.
-    fn wake_for_news(&mut self, now: Time) {
-        if self.spread.len() > 0 && self.table.members > 1 {
-            self.news_at = self.news_at.min(now + self.cfg.round / 4);
+    /// Sends queued updates within a quarter of a round rather than with the next round's probes.
+    fn schedule_gossip(&mut self, now: Time) {
+        if self.gossip.len() > 0 && self.table.member_count > 1 {
+            self.gossip_at = self.gossip_at.min(now + self.cfg.round / 4);
         }
     }
 
     fn send(&mut self, to: SocketAddr, kind: Kind, body: Vec<u8>) {
-        if self.out.len() < OUT {
-            self.out.push_back(Send { to, kind, body });
+        if self.outgoing.len() < MAX_QUEUED_SENDS {
+            self.outgoing.push_back(Send { to, kind, body });
         } else {
             self.figures.left_out += 1;
         }
     }
 }
 
-fn number<const BYTES: usize>(body: &mut &[u8]) -> Option<u64> {
+fn read_number<const BYTES: usize>(body: &mut &[u8]) -> Option<u64> {
     let (bytes, rest) = body.split_first_chunk::<BYTES>()?;
     *body = rest;
     Some(bytes.iter().fold(0, |sum, byte| sum << 8 | u64::from(*byte)))
@@ -570,17 +612,17 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::probe::Watched;
+    use crate::probe::Subject;
 
     #[test]
-    fn whoever_is_watched_no_more_says_nothing_of_ones_own_link() {
+    fn members_no_longer_observed_do_not_count_for_the_state_of_the_own_link() {
         let at: SocketAddr = ([127, 0, 0, 1], 9).into();
         let mut view = View::new(0, 1, 1, Settings::new("a", at, &[]));
-        // It answered once of sixteen rounds, and has been gone since.
-        let past = Watched { history: 1, rounds: 16, patience: 3, ..Watched::default() };
-        view.probes.watched.insert(id("b"), past);
-        assert!(view.probes.is_bad_link());
+        // It answered once in sixteen rounds, and has left the fleet since.
+        let former = Subject { history: 1, rounds: 16, backoff: 3, ..Subject::default() };
+        view.probes.subjects.insert(id("b"), former);
+        assert!(view.probes.is_own_link_bad());
         view.handle_timeout(view.round_at);
-        assert!(!view.probes.is_bad_link());
+        assert!(!view.probes.is_own_link_bad());
     }
 }
--- a/crates/view/src/view/compare.rs
+++ b/crates/view/src/view/compare.rs
@@ -1,4 +1,4 @@
-//! Copies of the table that differ are compared by parts, and what either lacks is sent.
+//! Anti-entropy: tables that differ are compared range by range, and each side sends what the other lacks.
 
 use std::net::SocketAddr;
 
@@ -6,86 +6,95 @@
 
 use super::View;
 use crate::table::Record;
-use crate::wire::{Item, Kind, Range, Said, BODY};
+use crate::wire::{Item, Kind, Range, SenderStatus, MAX_BODY_LENGTH};
 use crate::Time;
 
 impl View {
-    pub(super) fn compare(&mut self, now: Time, with: SocketAddr, said: &Said) {
-        let same = said.table == self.table.digest;
-        // News under way make copies differ for a moment; one that is not known yet, or was lost, has much to tell. Each
-        // by itself: where the fleet has two kinds of copies, those of one kind meet often as well.
-        let known = self.table.is_in(said.from) && self.table.members > 1;
-        let mut stranger = None;
-        let entry = self.table.entries.get_mut(&said.from);
-        let since = entry.map_or(&mut stranger, |entry| &mut entry.differs);
+    /// Starts a comparison with the sender of a status whose table has differed for a while.
+    pub(super) fn compare(&mut self, now: Time, with: SocketAddr, status: &SenderStatus) {
+        let same = status.table_digest == self.table.digest;
+        // Updates in transit make tables differ for a moment, so a known member is compared with only after a while; one
+        // that is new or was lost is compared with at once. The time is kept per member: where the fleet has two versions
+        // of the table, members with the same one also meet often.
+        let known = self.table.is_member(status.from) && self.table.member_count > 1;
+        let mut unknown_member = None;
+        let entry = self.table.entries.get_mut(&status.from);
+        let since = entry.map_or(&mut unknown_member, |entry| &mut entry.differs_since);
         if same {
             *since = None;
             return;
         }
         let since = *since.get_or_insert(now);
-        let patient = known && now - since < 4 * self.cfg.round;
-        if self.cfg.switches.no_comparison || patient || now < self.compare_at {
+        let too_early = known && now - since < 4 * self.cfg.round;
+        if self.cfg.switches.no_comparison || too_early || now < self.next_compare_at {
             return;
         }
-        self.compare_at = now + self.cfg.round / 2;
+        self.next_compare_at = now + self.cfg.round / 2;
         self.figures.comparisons += 1;
-        self.send_sum(with, Range::default());
+        self.send_digests(with, Range::default());
     }
 
-    fn send_sum(&mut self, to: SocketAddr, range: Range) {
+    fn send_digests(&mut self, to: SocketAddr, range: Range) {
         let mut body = Vec::new();
         range.write(&mut body);
         for n in 0..Range::PARTS {
-            body.put_u64(self.table.digest_of(range.part(n)));
+            body.put_u64(self.table.range_digest(range.part(n)));
         }
-        self.send(to, Kind::Sum, body);
+        self.send(to, Kind::Digests, body);
     }
 
-    pub(super) fn summed(&mut self, from: SocketAddr, range: Range, digests: &[u64; Range::PARTS as usize]) {
-        /// Records that are told at once rather than compared further.
-        const FEW: usize = 3;
+    /// Splits the parts of a range that differ, or sends their records if they are few.
+    pub(super) fn handle_digests(
+        &mut self,
+        from: SocketAddr,
+        range: Range,
+        digests: &[u64; Range::PARTS as usize],
+    ) {
+        /// A part with at most this many records is sent rather than split further.
+        const MAX_PUSHED: usize = 3;
         for (n, digest) in digests.iter().enumerate() {
             let part = range.part(n as u64);
-            if self.table.digest_of(part) == *digest {
+            if self.table.range_digest(part) == *digest {
                 continue;
             }
-            if self.table.in_range(part).count() > FEW && part.bits < 60 {
-                self.send_sum(from, part);
+            if self.table.in_range(part).count() > MAX_PUSHED && part.bits < 60 {
+                self.send_digests(from, part);
                 continue;
             }
             let mut body = Vec::new();
             part.write(&mut body);
-            for entry in self.table.in_range(part).take(FEW) {
+            for entry in self.table.in_range(part).take(MAX_PUSHED) {
                 Item::Record(entry.record.clone()).write(&mut body);
             }
             self.send(from, Kind::Push, body);
         }
     }
 
-    pub(super) fn pushed(&mut self, now: Time, from: SocketAddr, range: Range, items: Vec<Item>) {
-        /// Records sent back at once: what is more waits for the next comparison.
-        const MOST: usize = 48;
-        let told: Vec<Record> = items
+    /// Takes in the records of a range, and sends back those of this table that were not among them.
+    pub(super) fn handle_push(&mut self, now: Time, from: SocketAddr, range: Range, items: Vec<Item>) {
+        /// Records sent back at once. The rest waits for the next comparison.
+        const MAX_RETURNED: usize = 48;
+        let received: Vec<Record> = items
             .into_iter()
             .filter_map(|item| match item {
                 Item::Record(record) => Some(record),
-                Item::Word(_) => None,
+                Item::Vote(_) => None,
             })
             .collect();
-        for record in &told {
+        for record in &received {
             self.learn_record(now, record);
         }
-        let same = |record: &Record| told.iter().any(|told| told == record);
-        let back: Vec<Record> = self
+        let was_received = |record: &Record| received.iter().any(|other| other == record);
+        let missing: Vec<Record> = self
             .table
             .in_range(range)
             .map(|entry| entry.record.clone())
-            .filter(|record| !same(record))
-            .take(MOST)
+            .filter(|record| !was_received(record))
+            .take(MAX_RETURNED)
             .collect();
         let mut body = Vec::new();
-        for record in back {
-            if body.len() + crate::wire::length(&record) > BODY {
+        for record in missing {
+            if body.len() + crate::wire::length(&record) > MAX_BODY_LENGTH {
                 self.send(from, Kind::Gossip, std::mem::take(&mut body));
             }
             Item::Record(record).write(&mut body);
--- a/crates/view/src/view/rounds.rs
+++ b/crates/view/src/view/rounds.rs
@@ -1,93 +1,105 @@
-//! What a member does each round: it probes those that it watches, says whether they answer, and drops those that enough
-//! accuse.
+//! A probe round: probes this member's subjects, votes on whether they answer, and drops members that enough observers
+//! suspect.
 
 use std::net::SocketAddr;
 
 use bytes::BufMut;
 
-use super::{View, HELPERS, KNOCK};
-use crate::gossip::About;
-use crate::probe::{Probe, STRIKES};
-use crate::table::{Record, State, Word};
-use crate::wire::{Item, Kind, BODY};
+use super::{View, PROBE_HELPERS, REJOIN_PROBE_ROUNDS};
+use crate::gossip::GossipKey;
+use crate::probe::{Probe, SUSPECT_AFTER_ROUNDS};
+use crate::table::{Record, State, Vote};
+use crate::wire::{Item, Kind, MAX_BODY_LENGTH};
 use crate::{Id, Time};
 
-/// Rounds in which a word may be answered, before the one that it speaks of is dropped.
-const ANSWER: Time = 3;
+/// Rounds that a suspected member has to refute before it is dropped.
+const REFUTATION_ROUNDS: Time = 3;
 
 impl View {
+    /// Evaluates the probes of the round that ends, and votes on the subjects.
     pub(super) fn end_round(&mut self, now: Time) {
         self.probes.end_round();
         let subjects = self.subjects();
-        let helped: Vec<Id> = self.helping();
-        // Whoever is not looked at any more has a history that stands still, which says nothing of one's own link.
-        self.probes.watched.retain(|of, _| subjects.contains(of) || helped.contains(of));
-        let watched: Vec<(Id, bool)> = self
+        let undecided: Vec<Id> = self.undecided_members();
+        // The history of a member that is no longer probed is out of date and must not count for the state of the own link.
+        self.probes.subjects.retain(|id, _| subjects.contains(id) || undecided.contains(id));
+        let results: Vec<(Id, bool)> = self
             .probes
-            .watched
+            .subjects
             .iter()
-            .map(|(of, watched)| (*of, watched.strikes >= STRIKES * (1 + watched.patience)))
+            .map(|(id, subject)| (*id, subject.missed_rounds >= SUSPECT_AFTER_ROUNDS * (1 + subject.backoff)))
             .collect();
-        let doubtful = self.probes.is_bad_link() && !self.cfg.switches.single_observer;
-        for (of, silent) in watched.into_iter().filter(|(_, silent)| !(*silent && doubtful)) {
-            self.have_a_word(now, of, silent);
+        let own_link_bad = self.probes.is_own_link_bad() && !self.cfg.switches.single_observer;
+        for (id, silent) in results.into_iter().filter(|(_, silent)| !(*silent && own_link_bad)) {
+            self.cast_vote(now, id, silent);
         }
     }
 
-    /// Whom this member watches, worked out anew when somebody came or went.
+    /// The members that this one observes, recomputed when the membership has changed.
     fn subjects(&mut self) -> Vec<Id> {
-        if self.watches.0 != self.table.version {
-            self.watches = (self.table.version, self.table.subjects(self.me));
+        if self.subjects_cache.0 != self.table.version {
+            self.subjects_cache = (self.table.version, self.table.subjects(self.me));
         }
-        self.watches.1.clone()
+        self.subjects_cache.1.clone()
     }
 
-    /// Members whose case nobody else's word decides: each member looks at some of them itself, chosen by chance.
-    fn helping(&self) -> Vec<Id> {
+    /// Suspected members whose votes are too few or too balanced to decide. Besides their observers, a few members chosen
+    /// at random probe them.
+    fn undecided_members(&self) -> Vec<Id> {
         let undecided = |entry: &crate::Entry| {
-            entry.accusers() > 0 && entry.accusers() <= 1 + entry.vouchers() && entry.words.len() < 6
+            entry.suspect_votes() > 0
+                && entry.suspect_votes() <= 1 + entry.alive_votes()
+                && entry.votes.len() < 6
         };
-        let all = self.table.members().filter(|(of, entry)| *of != self.me && undecided(entry));
-        all.map(|(of, _)| of).take(8).collect()
+        let all = self.table.members().filter(|(id, entry)| *id != self.me && undecided(entry));
+        all.map(|(id, _)| id).take(8).collect()
     }
 
-    /// Tells the others whether one that is watched answers, where that is of use to them.
-    fn have_a_word(&mut self, now: Time, of: Id, silent: bool) {
-        let Some(entry) = self.table.get(of).filter(|entry| entry.record.state == State::In) else { return };
-        let (life, count) = (entry.record.life, entry.record.count);
-        let known = entry.words.iter().find(|word| word.by == self.me).map(|word| word.accuses);
-        // Without an accusation there is nothing to vouch for. What one has strikes against is not vouched for.
-        let strikes = self.probes.watched.get(&of).map_or(0, |watched| watched.strikes);
-        let says = silent || entry.accusers() > 0 && strikes == 0;
-        if !says || known == Some(silent) || self.again_at.is_some() {
+    /// Votes on whether a probed member answers, if it is suspected or a vote changes this member's earlier one.
+    fn cast_vote(&mut self, now: Time, id: Id, silent: bool) {
+        let Some(entry) = self.table.get(id).filter(|entry| entry.record.state == State::In) else { return };
+        let (incarnation, refutations) = (entry.record.incarnation, entry.record.refutations);
+        let previous = entry.votes.iter().find(|vote| vote.observer == self.me).map(|vote| vote.suspects);
+        // A vote that it is alive only matters against a suspicion, and is not cast after missed rounds.
+        let missed_rounds = self.probes.subjects.get(&id).map_or(0, |subject| subject.missed_rounds);
+        let has_vote = silent || entry.suspect_votes() > 0 && missed_rounds == 0;
+        if !has_vote || previous == Some(silent) || self.rejoin_at.is_some() {
             return;
         }
-        let watched = self.probes.watched.entry(of).or_default();
-        watched.seq = watched.seq.wrapping_add(1);
-        watched.accuses = silent;
-        let word = Word { of, life, count, by: self.me, seq: watched.seq, accuses: silent };
-        if self.table.word(now, word) {
-            self.spread.add(About::Word(of, self.me));
+        let subject = self.probes.subjects.entry(id).or_default();
+        subject.seq = subject.seq.wrapping_add(1);
+        subject.suspected = silent;
+        let vote = Vote {
+            subject: id,
+            incarnation,
+            refutations,
+            observer: self.me,
+            seq: subject.seq,
+            suspects: silent,
+        };
+        if self.table.record_vote(now, vote) {
+            self.gossip.add(GossipKey::Vote(id, self.me));
         }
     }
 
-    /// Drops those that several say do not answer, more than say they do, and that had the time to say otherwise.
-    pub(super) fn judge(&mut self, now: Time) {
-        // Whoever hears from nobody can't tell whether it is the others that are lost, nor would it hear them say otherwise.
-        // Nor can one on a bad link: what it holds for silence others hear answered.
+    /// Drops members that have had a majority of suspicions for longer than the time to refute.
+    pub(super) fn drop_failed(&mut self, now: Time) {
+        // A member that receives no answers can't tell whether the others have failed, and would not receive their
+        // refutations. Nor can one on a bad link, which misses answers that others receive.
         let switches = self.cfg.switches;
-        if !self.probes.heard || self.probes.is_bad_link() && !switches.single_observer {
+        if !self.probes.any_answered || self.probes.is_own_link_bad() && !switches.single_observer {
             return;
         }
-        let time = if switches.no_suspicion { 0 } else { ANSWER * self.cfg.round };
+        let refutation_time = if switches.no_suspicion { 0 } else { REFUTATION_ROUNDS * self.cfg.round };
         let lost = |entry: &crate::Entry| {
-            let since = if switches.single_observer { entry.accused } else { entry.outvoted };
-            since.is_some_and(|at| now - at >= time)
+            let since =
+                if switches.single_observer { entry.suspected_since } else { entry.suspect_majority_since };
+            since.is_some_and(|at| now - at >= refutation_time)
         };
         let lost: Vec<Record> = self
             .table
             .members()
-            .filter(|(of, entry)| *of != self.me && lost(entry))
+            .filter(|(id, entry)| *id != self.me && lost(entry))
             .map(|(_, entry)| entry.record.clone())
             .collect();
         for record in lost {
@@ -95,68 +107,74 @@
         }
     }
 
+    /// Sends the probes of the next round.
     pub(super) fn begin_round(&mut self, now: Time) {
         let round = self.cfg.round;
         self.round += 1;
-        // A little chance, so that rounds of different members don't stay in step.
+        // Jitter, so that the rounds of different members don't stay in step.
         self.round_at = now + round - self.rng.i64(0..=round / 10);
-        self.ask_at = now + round / 3;
-        if self.again_at.is_none() {
+        self.indirect_at = now + round / 3;
+        if self.rejoin_at.is_none() {
             let mut targets = self.subjects();
-            let helping = self.helping();
-            // By chance some two or three members in the whole fleet.
-            let part = 3.0 / self.table.members.max(1) as f64;
-            for of in helping {
-                // Whoever began to look and saw no answer goes on until it can say so.
-                let begun = self.probes.watched.get(&of).is_some_and(|watched| watched.strikes > 0);
-                if !targets.contains(&of) && (begun || self.rng.f64() < part) {
-                    targets.push(of);
+            let undecided = self.undecided_members();
+            // On average three members of the whole fleet probe an undecided one.
+            let probability = 3.0 / self.table.member_count.max(1) as f64;
+            for id in undecided {
+                // Once a probe was missed, this member goes on until it can vote.
+                let started = self.probes.subjects.get(&id).is_some_and(|subject| subject.missed_rounds > 0);
+                if !targets.contains(&id) && (started || self.rng.f64() < probability) {
+                    targets.push(id);
                 }
             }
-            for of in targets {
-                self.probe(of);
+            for id in targets {
+                self.probe(id);
             }
-            // And everybody in turn, to hear which view it has.
+            // All members in turn are probed as well, to exchange the view and table digests.
             let others: Vec<Id> =
-                self.table.members().map(|(of, _)| of).filter(|of| *of != self.me).collect();
+                self.table.members().map(|(id, _)| id).filter(|id| *id != self.me).collect();
             if !others.is_empty() {
-                let greeted = others[(self.round % others.len() as u64) as usize];
+                let next = others[(self.round % others.len() as u64) as usize];
                 let seq = self.next_seq();
-                let address = self.table.get(greeted).map(|entry| entry.record.address);
-                address.into_iter().for_each(|to| self.send_probe(seq, Some(greeted), to));
+                let address = self.table.get(next).map(|entry| entry.record.address);
+                address.into_iter().for_each(|to| self.send_probe(seq, Some(next), to));
             }
         }
-        self.knock(now);
-        self.wake_for_news(now);
+        self.probe_lost_and_seeds(now);
+        self.schedule_gossip(now);
     }
 
-    fn probe(&mut self, of: Id) {
-        let Some(address) = self.table.get(of).map(|entry| entry.record.address) else { return };
+    fn probe(&mut self, id: Id) {
+        let Some(address) = self.table.get(id).map(|entry| entry.record.address) else { return };
         let seq = self.next_seq();
-        self.probes.under_way.insert(seq, Probe { of, answered: false });
-        self.send_probe(seq, Some(of), address);
+        self.probes.pending.insert(seq, Probe { target: id, answered: false });
+        self.send_probe(seq, Some(id), address);
     }
 
-    /// Has others probe those that were silent so far.
-    pub(super) fn ask(&mut self) {
-        let silent = self.probes.under_way.iter().filter(|(_, probe)| !probe.answered);
-        let silent: Vec<(u32, Id)> = silent.map(|(seq, probe)| (*seq, probe.of)).collect();
-        for (seq, of) in silent {
-            for helper in self.some(HELPERS + 1).into_iter().filter(|helper| *helper != of).take(HELPERS) {
+    /// Asks other members to probe the targets that have not answered yet.
+    pub(super) fn request_indirect_probes(&mut self) {
+        let silent = self.probes.pending.iter().filter(|(_, probe)| !probe.answered);
+        let silent: Vec<(u32, Id)> = silent.map(|(seq, probe)| (*seq, probe.target)).collect();
+        for (seq, id) in silent {
+            for helper in self
+                .random_members(PROBE_HELPERS + 1)
+                .into_iter()
+                .filter(|helper| *helper != id)
+                .take(PROBE_HELPERS)
+            {
                 let Some(to) = self.table.get(helper).map(|entry| entry.record.address) else { continue };
                 let mut body = Vec::new();
                 body.put_u32(seq);
-                body.put_u64(of);
-                self.send(to, Kind::Ask, body);
+                body.put_u64(id);
+                self.send(to, Kind::ProbeRequest, body);
             }
         }
     }
 
-    /// Tries an address where the fleet may be: while alone each round, else now and then, so that parts that lost
-    /// each other find together again.
-    fn knock(&mut self, now: Time) {
-        let alone = self.table.members <= 1;
-        if !alone && !self.round.is_multiple_of(KNOCK) {
+    /// Probes the address of a lost member and of a configured peer, each round while alone, else every
+    /// [`REJOIN_PROBE_ROUNDS`] rounds, so that the parts of a split fleet merge again.
+    fn probe_lost_and_seeds(&mut self, now: Time) {
+        let alone = self.table.member_count <= 1;
+        if !alone && !self.round.is_multiple_of(REJOIN_PROBE_ROUNDS) {
             return;
         }
         let known =
@@ -164,28 +182,29 @@
         let forget = self.cfg.forget;
         let lost = self.table.entries.values().filter(|entry| {
             entry.record.state == State::Gone
-                && now - entry.since < forget
+                && now - entry.state_since < forget
                 && entry.record.name != self.cfg.name
         });
         let lost: Vec<SocketAddr> = lost.map(|entry| entry.record.address).collect();
         let peers: Vec<SocketAddr> =
             self.cfg.peers.iter().copied().filter(|at| !known(at) && *at != self.cfg.address).collect();
-        // One of either kind, so that many lost ones don't hide the peers.
-        for from in [lost, peers] {
-            if !from.is_empty() {
-                let to = from[self.rng.usize(..from.len())];
+        // One address of each list, so that many lost members don't keep the peers from being tried.
+        for addresses in [lost, peers] {
+            if !addresses.is_empty() {
+                let to = addresses[self.rng.usize(..addresses.len())];
                 let seq = self.next_seq();
-                self.knock_at(seq, to);
+                self.send_join_probe(seq, to);
             }
         }
     }
 
-    fn knock_at(&mut self, seq: u32, to: SocketAddr) {
-        let mut body = self.saying(seq);
+    /// Sends a probe with this member's own record, for a receiver that may not know it.
+    fn send_join_probe(&mut self, seq: u32, to: SocketAddr) {
+        let mut body = self.status_body(seq);
         if let Some(own) = self.table.get(self.me) {
             Item::Record(own.record.clone()).write(&mut body);
         }
-        self.spread.fill(&self.table, None, &mut body, BODY);
+        self.gossip.fill(&self.table, None, &mut body, MAX_BODY_LENGTH);
         self.send(to, Kind::Ping, body);
     }
 }
--- a/crates/view/src/view/stability.rs
+++ b/crates/view/src/view/stability.rs
@@ -1,54 +1,61 @@
-//! When a table that has changed is shown: one fault is to be one change.
+//! Debounces changes of the table, so that one fault becomes one change of the view.
 
 use std::collections::BTreeMap;
 
 use super::View;
-use crate::{Id, Life, Time};
+use crate::{Id, Incarnation, Time};
 
-/// Rounds that the table is to be still before a view of it is shown, and how many it is waited for at most.
-const STILL: Time = 2;
-const STILL_MOST: Time = 10;
+/// Rounds without a change of the table before it is shown as the new view.
+const STABLE_ROUNDS: Time = 2;
+
+/// Rounds after the first change when it is shown even if the table still changes.
+const MAX_WAIT_ROUNDS: Time = 10;
 
 impl View {
-    /// Something may be shown otherwise from here on.
-    pub(super) fn touched(&mut self, now: Time) {
+    /// Notes a change of the table that the view may have to show.
+    pub(super) fn mark_changed(&mut self, now: Time) {
         let first = self.changed.map_or(now, |(_, first)| first);
         self.changed = Some((now, first));
     }
 
+    /// When to show a table that changed first at `first` and last at `last`.
     pub(super) fn show_at(&self, last: Time, first: Time) -> Time {
-        (last + STILL * self.cfg.round).min(first + STILL_MOST * self.cfg.round)
+        (last + STABLE_ROUNDS * self.cfg.round).min(first + MAX_WAIT_ROUNDS * self.cfg.round)
     }
 
-    /// Whether somebody is about to be dropped unless it answers: more accuse it than vouch for it. What is shown waits for
-    /// that, as the same fault may have taken several whom others, late themselves, accuse later.
-    fn is_about_to_drop(&self) -> bool {
-        let mut others = self.table.members().filter(|(of, _)| *of != self.me);
-        others.any(|(_, entry)| entry.accused.is_some() && entry.accusers() > entry.vouchers())
+    /// Returns true if some member will be dropped unless it refutes: it has more suspicions than votes that it is alive.
+    /// The next view waits for that, as one fault may take several members that are not all suspected at the same time.
+    fn is_drop_pending(&self) -> bool {
+        let mut others = self.table.members().filter(|(id, _)| *id != self.me);
+        others
+            .any(|(_, entry)| entry.suspected_since.is_some() && entry.suspect_votes() > entry.alive_votes())
     }
 
-    pub(super) fn show_when_still(&mut self, now: Time) {
+    /// Shows the table once it is stable and no drop is pending.
+    pub(super) fn show_when_stable(&mut self, now: Time) {
         let Some((last, first)) = self.changed.filter(|(last, first)| now >= self.show_at(*last, *first))
         else {
             return;
         };
-        if now < first + STILL_MOST * self.cfg.round && self.is_about_to_drop() {
+        if now < first + MAX_WAIT_ROUNDS * self.cfg.round && self.is_drop_pending() {
             self.changed = Some((now.max(last), first));
         } else {
             self.show();
         }
     }
 
+    /// Makes the table's current members the view; a different view gets a number above all reported ones.
     pub(super) fn show(&mut self) {
         self.changed = None;
-        let shown: BTreeMap<Id, Life> =
-            self.table.members().map(|(of, entry)| (of, entry.record.life)).collect();
+        let shown: BTreeMap<Id, Incarnation> =
+            self.table.members().map(|(id, entry)| (id, entry.record.incarnation)).collect();
         if shown != self.shown {
-            let said = self.table.members().filter_map(|(_, entry)| entry.view.map(|(number, _)| number));
-            self.number = said.max().unwrap_or(0).max(self.number) + 1;
+            let reported =
+                self.table.members().filter_map(|(_, entry)| entry.reported_view.map(|(number, _)| number));
+            self.view_number = reported.max().unwrap_or(0).max(self.view_number) + 1;
             self.figures.changes += 1;
             self.shown = shown;
         }
-        self.digest = self.table.view;
+        self.view_digest = self.table.members_digest;
     }
 }
--- a/crates/view/src/wire.rs
+++ b/crates/view/src/wire.rs
@@ -1,85 +1,92 @@
-//! What stewards say to each other: bodies of datagrams, whose envelope, with a MAC, is not seen here.
+//! Encoding of datagram bodies. The envelope with its MAC is added and checked by the caller.
 //!
-//! All numbers are big endian. A body that can't be read is passed over whole.
+//! All numbers are big endian. A malformed body is ignored as a whole.
 
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 
 use bytes::{Buf, BufMut};
 
-use crate::table::{Record, State, Word};
-use crate::{Id, Life, Reach, NAME};
+use crate::table::{Record, State, Vote};
+use crate::{Id, Incarnation, Reach, NAME};
 
-/// Bytes of a body at most: with the envelope a datagram has 256.
-pub const BODY: usize = 206;
+/// The longest body, in bytes: with its envelope a datagram has 256.
+pub const MAX_BODY_LENGTH: usize = 206;
 
-/// What a body is.
+/// Message kinds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
-    /// Are you there? Answered by an ACK with the same number.
+    /// A probe, answered by an `Ack` with the same sequence number.
     Ping = 3,
+    /// Answer to a `Ping`.
     Ack = 4,
-    /// Is that one there? Answered by HEARD once it answered.
-    Ask = 5,
-    Heard = 6,
-    /// News alone.
+    /// Asks for an indirect probe of a member; answered by an `IndirectAck` once that member has answered.
+    ProbeRequest = 5,
+    /// The member of a `ProbeRequest` has answered.
+    IndirectAck = 6,
+    /// Updates alone.
     Gossip = 7,
-    /// Digests of sixteen parts of a range of the table.
-    Sum = 8,
-    /// All records of a range, few; what is missing is sent back.
+    /// Digests of the sixteen parts of a table range.
+    Digests = 8,
+    /// The few records of a range; the receiver answers with its records of the range that are not among them.
     Push = 9,
-    /// Somebody asks what the view is; answered by SHOWN.
+    /// Asks for a page of the view, answered by `Shown`.
     Show = 10,
+    /// A page of the view.
     Shown = 11,
 }
 
 impl Kind {
     pub fn read(byte: u8) -> Option<Kind> {
-        use Kind::{Ack, Ask, Gossip, Heard, Ping, Push, Show, Shown, Sum};
-        [Ping, Ack, Ask, Heard, Gossip, Sum, Push, Show, Shown].into_iter().find(|kind| *kind as u8 == byte)
+        use Kind::{Ack, Digests, Gossip, IndirectAck, Ping, ProbeRequest, Push, Show, Shown};
+        [Ping, Ack, ProbeRequest, IndirectAck, Gossip, Digests, Push, Show, Shown]
+            .into_iter()
+            .find(|kind| *kind as u8 == byte)
     }
 }
 
-/// What every probe and answer says of its sender.
+/// State of the sender, at the start of each `Ping` and `Ack`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Said {
+pub struct SenderStatus {
     pub seq: u32,
     pub from: Id,
-    pub life: Life,
-    /// Number and digest of the view that it shows.
-    pub number: u32,
-    pub view: u64,
-    /// Digest of all that it knows.
-    pub table: u64,
-    pub reach: Reach,
+    pub incarnation: Incarnation,
+    /// Number and digest of the view that the sender shows.
+    pub view_number: u32,
+    pub view_digest: u64,
+    /// Digest of the sender's membership table.
+    pub table_digest: u64,
+    pub forwarders: Reach,
 }
 
-pub const SAID: usize = 52;
+/// Encoded length of a [`SenderStatus`], in bytes.
+pub const STATUS_LENGTH: usize = 52;
 
-impl Said {
+impl SenderStatus {
     pub fn write(&self, to: &mut Vec<u8>) {
         to.put_u32(self.seq);
         to.put_u64(self.from);
-        to.put_u64(self.life);
-        to.put_u32(self.number);
-        to.put_u64(self.view);
-        to.put_u64(self.table);
-        to.put_u32(self.reach.joined);
-        to.put_u64(self.reach.digest);
+        to.put_u64(self.incarnation);
+        to.put_u32(self.view_number);
+        to.put_u64(self.view_digest);
+        to.put_u64(self.table_digest);
+        to.put_u32(self.forwarders.joined);
+        to.put_u64(self.forwarders.digest);
     }
 
-    pub fn read(from: &mut &[u8]) -> Option<Said> {
-        (from.remaining() >= SAID).then(|| Said {
+    pub fn read(from: &mut &[u8]) -> Option<SenderStatus> {
+        (from.remaining() >= STATUS_LENGTH).then(|| SenderStatus {
             seq: from.get_u32(),
             from: from.get_u64(),
-            life: from.get_u64(),
-            number: from.get_u32(),
-            view: from.get_u64(),
-            table: from.get_u64(),
-            reach: Reach { joined: from.get_u32(), digest: from.get_u64() },
+            incarnation: from.get_u64(),
+            view_number: from.get_u32(),
+            view_digest: from.get_u64(),
+            table_digest: from.get_u64(),
+            forwarders: Reach { joined: from.get_u32(), digest: from.get_u64() },
         })
     }
 }
 
+/// Appends an address: 4 or 6 for the IP version, the IP, the port.
 pub fn write_address(address: &SocketAddr, to: &mut Vec<u8>) {
     match address.ip() {
         IpAddr::V4(ip) => {
@@ -94,6 +101,7 @@
     to.put_u16(address.port());
 }
 
+/// Reads an address off the front of `from`, or returns `None` if it is malformed.
 pub fn read_address(from: &mut &[u8]) -> Option<SocketAddr> {
     let ip: IpAddr = match from.try_get_u8().ok()? {
         4 => Ipv4Addr::from(from.try_get_u32().ok()?).into(),
@@ -103,22 +111,22 @@
     Some(SocketAddr::new(ip, from.try_get_u16().ok()?))
 }
 
-/// A piece of news.
+/// An update in a body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Item {
     Record(Record),
-    Word(Word),
+    Vote(Vote),
 }
 
-/// Lives begin at milliseconds of the wall clock and go up by ones: none comes near. Guards those that follow on it.
-const MOST_LIFE: Life = Life::MAX / 2;
+/// Incarnations start at wall-clock milliseconds and rise by ones, so none comes near. Keeps the next one from overflowing.
+const MAX_INCARNATION: Incarnation = Incarnation::MAX / 2;
 
-const WORD: u8 = 16;
-const ACCUSES: u8 = 17;
-/// Bytes of a word.
-pub const WORD_LENGTH: usize = 31;
+const VOTE_ALIVE: u8 = 16;
+const VOTE_SUSPECT: u8 = 17;
+/// Encoded length of a vote, in bytes.
+pub const VOTE_LENGTH: usize = 31;
 
-/// Bytes of a record.
+/// Encoded length of a record, in bytes.
 pub fn length(record: &Record) -> usize {
     let address = if record.address.is_ipv4() { 6 } else { 18 };
     1 + 1 + address + 8 + 4 + 1 + record.name.len()
@@ -134,32 +142,32 @@
                     State::Gone => 3,
                 });
                 write_address(&record.address, to);
-                to.put_u64(record.life);
-                to.put_u32(record.count);
+                to.put_u64(record.incarnation);
+                to.put_u32(record.refutations);
                 to.put_u8(record.name.len() as u8);
                 to.put_slice(record.name.as_bytes());
             }
-            Item::Word(word) => {
-                to.put_u8(if word.accuses { ACCUSES } else { WORD });
-                to.put_u64(word.of);
-                to.put_u64(word.life);
-                to.put_u32(word.count);
-                to.put_u64(word.by);
-                to.put_u16(word.seq);
+            Item::Vote(vote) => {
+                to.put_u8(if vote.suspects { VOTE_SUSPECT } else { VOTE_ALIVE });
+                to.put_u64(vote.subject);
+                to.put_u64(vote.incarnation);
+                to.put_u32(vote.refutations);
+                to.put_u64(vote.observer);
+                to.put_u16(vote.seq);
             }
         }
     }
 
     fn read(from: &mut &[u8]) -> Option<Item> {
         let kind = from.try_get_u8().ok()?;
-        if kind == WORD || kind == ACCUSES {
-            return Some(Item::Word(Word {
-                of: from.try_get_u64().ok()?,
-                life: from.try_get_u64().ok()?,
-                count: from.try_get_u32().ok()?,
-                by: from.try_get_u64().ok()?,
+        if kind == VOTE_ALIVE || kind == VOTE_SUSPECT {
+            return Some(Item::Vote(Vote {
+                subject: from.try_get_u64().ok()?,
+                incarnation: from.try_get_u64().ok()?,
+                refutations: from.try_get_u32().ok()?,
+                observer: from.try_get_u64().ok()?,
                 seq: from.try_get_u16().ok()?,
-                accuses: kind == ACCUSES,
+                suspects: kind == VOTE_SUSPECT,
             }));
         }
         let state = match kind {
@@ -169,8 +177,9 @@
             _ => return None,
         };
         let address = read_address(from)?;
-        let (life, count): (Life, u32) = (from.try_get_u64().ok()?, from.try_get_u32().ok()?);
-        if life > MOST_LIFE {
+        let (incarnation, refutations): (Incarnation, u32) =
+            (from.try_get_u64().ok()?, from.try_get_u32().ok()?);
+        if incarnation > MAX_INCARNATION {
             return None;
         }
         let length = usize::from(from.try_get_u8().ok()?);
@@ -180,10 +189,10 @@
         let name = std::str::from_utf8(&from[..length]).ok()?.to_owned();
         from.advance(length);
         let id = crate::id(&name);
-        Some(Item::Record(Record { id, name, address, life, count, state }))
+        Some(Item::Record(Record { id, name, address, incarnation, refutations, state }))
     }
 
-    /// All items to the end, or none where one can't be read.
+    /// Reads items up to the end of the body. Returns `None` if any of them is malformed.
     pub fn read_all(mut from: &[u8]) -> Option<Vec<Item>> {
         let mut items = Vec::new();
         while !from.is_empty() {
@@ -193,7 +202,7 @@
     }
 }
 
-/// A part of the table: the names whose numbers begin with these bits.
+/// A range of the table: the names whose ids begin with the first `bits` bits of `prefix`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Range {
     pub bits: u8,
@@ -201,9 +210,10 @@
 }
 
 impl Range {
-    /// Parts that a range is compared by.
+    /// Parts that a range is split into for a comparison.
     pub const PARTS: u64 = 16;
 
+    /// The part with this index; parts are 4 bits longer than their range.
     pub fn part(self, n: u64) -> Range {
         let bits = self.bits + 4;
         Range { bits, prefix: self.prefix | n << (64 - u32::from(bits)) }
@@ -228,9 +238,9 @@
 
     pub fn read(from: &mut &[u8]) -> Option<Range> {
         let (bits, prefix) = (from.try_get_u8().ok()?, from.try_get_u64().ok()?);
-        // Sixty bits leave room for one more step.
-        let whole = bits <= 60 && bits.is_multiple_of(4);
-        let outside = whole && bits > 0 && prefix & (Id::MAX >> bits) != 0 || bits == 0 && prefix != 0;
-        (whole && !outside).then_some(Range { bits, prefix })
+        // A range of sixty bits can still be split once.
+        let aligned = bits <= 60 && bits.is_multiple_of(4);
+        let outside = aligned && bits > 0 && prefix & (Id::MAX >> bits) != 0 || bits == 0 && prefix != 0;
+        (aligned && !outside).then_some(Range { bits, prefix })
     }
 }
--- a/crates/view/tests/fleet/common.rs
+++ b/crates/view/tests/fleet/common.rs
@@ -128,7 +128,7 @@
     pub fn flush(&mut self, n: usize) {
         let Some(mut view) = self.nodes[n].view.take() else { return };
         while let Some(send) = view.poll() {
-            assert!(send.body.len() <= ravenspar_view::BODY);
+            assert!(send.body.len() <= ravenspar_view::MAX_BODY_LENGTH);
             self.sent[n] += 1;
             // With the envelope.
             self.bytes[n] += send.body.len() as u64 + 50;
@@ -201,7 +201,7 @@
     /// Whether these show one view, with just themselves in it.
     pub fn agree(&self, members: &[usize]) -> bool {
         let truth: BTreeMap<String, u64> =
-            members.iter().map(|&n| (format!("steward-{n}"), self.view(n).life())).collect();
+            members.iter().map(|&n| (format!("steward-{n}"), self.view(n).incarnation())).collect();
         let digest = self.view(members[0]).shown().1;
         members.iter().all(|&n| {
             let shown: BTreeMap<String, u64> =
@@ -228,7 +228,7 @@
             let view = self.view(n);
             let names: Vec<String> = view.names().map(|(name, life)| format!("{name}/{life}")).collect();
             let cut = view.is_cut_off(self.now);
-            format!("{n}: life {} cut off {cut} shows {names:?} {:?}\n", view.life(), view.figures())
+            format!("{n}: life {} cut off {cut} shows {names:?} {:?}\n", view.incarnation(), view.figures())
         };
         self.live().into_iter().map(one).collect()
     }
--- a/crates/view/tests/fleet/faults.rs
+++ b/crates/view/tests/fleet/faults.rs
@@ -160,12 +160,12 @@
     for seed in 1..=10 {
         let mut fleet = settled(seed, 5);
         let rest: Vec<usize> = (1..5).collect();
-        let (before, life) = (counts(&fleet, &rest), fleet.view(0).life());
+        let (before, life) = (counts(&fleet, &rest), fleet.view(0).incarnation());
         fleet.nodes[0].stopped = fleet.now + 10 * SECOND;
         fleet.run(20 * SECOND);
         let all = fleet.live();
         assert!(fleet.agree(&all), "seed {seed}\n{}", fleet.told());
-        assert!(fleet.view(0).life() > life);
+        assert!(fleet.view(0).incarnation() > life);
         for ((_, lives), (_, lived)) in counts(&fleet, &rest).iter().zip(&before) {
             assert_eq!(lives, lived, "seed {seed}\n{}", fleet.told());
         }
--- a/crates/view/tests/fleet/wire.rs
+++ b/crates/view/tests/fleet/wire.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use ravenspar_view::show::{Page, Shown};
-use ravenspar_view::{Kind, Reach, Settings, State, View, BODY};
+use ravenspar_view::{Kind, Reach, Settings, State, View, MAX_BODY_LENGTH};
 
 use crate::common::{address, SECOND};
 
@@ -27,7 +27,7 @@
         view.handle(SECOND, address(1), Kind::Gossip, &record("a", life, count, state));
         (1..60).for_each(|second| view.handle_timeout(second * SECOND));
         assert_eq!(view.names().map(|(name, _)| name).collect::<Vec<_>>(), ["a"], "{life} {count} {state}");
-        assert!(view.life() == 1 || view.life() == 2 || view.life() == u64::MAX / 2 + 1);
+        assert!(view.incarnation() == 1 || view.incarnation() == 2 || view.incarnation() == u64::MAX / 2 + 1);
     }
 }
 
@@ -46,12 +46,12 @@
             token, index, number, digest, settled: flags & 4 != 0, cut_off: flags & 8 != 0,
             member: (flags != 0).then_some(member),
         };
-        prop_assert!(page.write().len() <= BODY);
+        prop_assert!(page.write().len() <= MAX_BODY_LENGTH);
         prop_assert_eq!(Page::read(&page.write()), Some(page));
     }
 
     #[test]
-    fn any_page_is_read_or_passed_over(body in prop::collection::vec(any::<u8>(), 0..2 * BODY)) {
+    fn any_page_is_read_or_passed_over(body in prop::collection::vec(any::<u8>(), 0..2 * MAX_BODY_LENGTH)) {
         if let Some(page) = Page::read(&body) {
             prop_assert!(page.member.is_none_or(|member| member.name.len() <= 32));
         }
@@ -59,12 +59,12 @@
 
     #[test]
     fn any_body_is_passed_over_or_taken_in(bodies in prop::collection::vec(
-        (kind(), prop::collection::vec(any::<u8>(), 0..2 * BODY)), 1..20)) {
+        (kind(), prop::collection::vec(any::<u8>(), 0..2 * MAX_BODY_LENGTH)), 1..20)) {
         let mut view = View::new(SECOND, 1, 1, Settings::new("a", address(0), &[address(1)]));
         for (kind, body) in bodies {
             view.handle(SECOND, address(1), kind, &body);
             while let Some(send) = view.poll() {
-                prop_assert!(send.body.len() <= BODY);
+                prop_assert!(send.body.len() <= MAX_BODY_LENGTH);
             }
         }
         prop_assert_eq!(view.names().next(), Some(("a", 1)));
--- a/crates/view/tests/standstill.rs
+++ b/crates/view/tests/standstill.rs
@@ -24,14 +24,14 @@
         let all = fleet.live();
         assert!(fleet.until_agreed(&all, 30 * SECOND).is_some(), "{}", fleet.told());
         fleet.run(20 * SECOND);
-        let life = fleet.view(ACCUSED).life();
+        let life = fleet.view(ACCUSED).incarnation();
         fleet.split(&[ACCUSED]);
         // Three rounds until it is accused, and three from then on to answer.
         fleet.run(3 * round + 2 * round * phase / PHASES);
         fleet.heal();
         fleet.nodes[STILL].stopped = fleet.now + round * 35 / 10;
         fleet.run(20 * SECOND);
-        assert_eq!(fleet.view(ACCUSED).life(), life, "phase {phase}\n{}", fleet.told());
+        assert_eq!(fleet.view(ACCUSED).incarnation(), life, "phase {phase}\n{}", fleet.told());
         assert!(fleet.agree(&all), "phase {phase}\n{}", fleet.told());
     }
 }
