--- a/crates/notes/src/lib.rs
+++ b/crates/notes/src/lib.rs
@@ -1,8 +1,8 @@
-//! Datagrams between stewards: their envelope, and the hints that travel in it. Pure: bytes in, bytes out.
+//! Datagrams between stewards: the authenticated envelope, and the hints sent in it. Pure: bytes in, bytes out.
 //!
-//! A datagram may be lost, late, doubled, out of order or forged, so what it carries is a hint and never authority:
-//! whoever takes one in looks sooner where it would have looked anyway. It is 256 bytes at most: version (1), the
-//! sender's number (8), its count (8), kind (1), the body, all big endian, and an HMAC-SHA256 over these (32, RFC 2104).
+//! Datagrams may be lost, delayed, duplicated, reordered or forged, so what they carry is a hint and no authority: its
+//! receiver only reads earlier what it would have read anyway. A datagram has up to 256 bytes: version (1), sender (8),
+//! counter (8), kind (1), the body, all big endian, and an HMAC-SHA256 over these (32, RFC 2104).
 
 use std::collections::BTreeMap;
 
@@ -11,38 +11,39 @@
 use sha2::Sha256;
 
 const VERSION: u8 = 1;
-const HEAD: usize = 18;
-const TAG: usize = 32;
-/// Bytes of a datagram at most.
+/// Bytes before the body.
+const HEADER_LENGTH: usize = 18;
+/// Bytes of the HMAC after the body.
+const TAG_LENGTH: usize = 32;
+/// The longest datagram, in bytes.
 pub const LENGTH: usize = 256;
-/// Bytes of a body at most.
-pub const BODY: usize = LENGTH - HEAD - TAG;
+/// The longest body, in bytes.
+pub const BODY: usize = LENGTH - HEADER_LENGTH - TAG_LENGTH;
 
-/// Kinds of hints; their body is a number (8). A reader leaves alone those that it does not know. Kinds from 3 on are
-/// those of the view of the fleet.
+/// Kinds of hints, whose body is a number (8). Unknown kinds are ignored. Kinds from 3 on are those of `ravenspar-view`.
 pub mod kind {
-    /// Slices have changed hands, at this revision of the store: look there.
+    /// Slices were handed over at this revision of the store, which the receiver should read.
     pub const LOOK: u8 = 1;
-    /// The sender's list of servers has changed: read yours.
+    /// The sender's list of servers has changed, so the receiver should read its own again.
     pub const LIST: u8 = 2;
 }
 
-/// Why a datagram is not taken in.
+/// Why a datagram was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refused {
-    /// Of a length that can't be, or another version.
+    /// Its length is impossible, or its version is another.
     Form,
-    /// Its MAC is not that of the key.
+    /// Its MAC does not match the key.
     Forged,
-    /// It has been taken in before, or is too old to tell.
+    /// It was accepted before, or is too old to know.
     Replayed,
 }
 
-/// The sender's side.
+/// Seals datagrams with a key, a sender number and a counter.
 pub struct Outbox {
     key: Vec<u8>,
-    life: Life,
-    count: u64,
+    sender: Life,
+    counter: u64,
 }
 
 fn mac(key: &[u8], body: &[u8]) -> Option<Hmac<Sha256>> {
@@ -52,58 +53,60 @@
 }
 
 impl Outbox {
-    pub fn new(key: &[u8], life: Life) -> Outbox {
-        Outbox { key: key.to_vec(), life, count: 0 }
+    /// The sender number must be new at each start, as the counter starts from zero.
+    pub fn new(key: &[u8], sender: Life) -> Outbox {
+        Outbox { key: key.to_vec(), sender, counter: 0 }
     }
 
-    /// A hint that nobody has sent before.
+    /// Seals a hint under the next counter.
     pub fn note(&mut self, kind: u8, number: u64) -> Vec<u8> {
         self.seal(kind, &number.to_be_bytes())
     }
 
-    /// A datagram that nobody has sent before. A body that is too long is refused by its readers.
+    /// Seals a body under the next counter. Receivers refuse a body that is longer than [`BODY`].
     pub fn seal(&mut self, kind: u8, body: &[u8]) -> Vec<u8> {
-        self.count += 1;
-        let mut note = Vec::with_capacity(LENGTH);
-        note.push(VERSION);
-        note.extend(self.life.to_be_bytes());
-        note.extend(self.count.to_be_bytes());
-        note.push(kind);
-        note.extend(body);
-        let tag = mac(&self.key, &note).map(|mac| mac.finalize().into_bytes().to_vec());
-        note.extend(tag.unwrap_or_default());
-        note
+        self.counter += 1;
+        let mut datagram = Vec::with_capacity(LENGTH);
+        datagram.push(VERSION);
+        datagram.extend(self.sender.to_be_bytes());
+        datagram.extend(self.counter.to_be_bytes());
+        datagram.push(kind);
+        datagram.extend(body);
+        let tag = mac(&self.key, &datagram).map(|mac| mac.finalize().into_bytes().to_vec());
+        datagram.extend(tag.unwrap_or_default());
+        datagram
     }
 }
 
-/// The newest count taken in from a sender, and which of the 64 up to it were.
+/// Replay window of a sender: its newest counter, and which of the 64 up to it were received.
 #[derive(Clone, Copy, Debug, Default)]
 struct Window {
     newest: u64,
+    /// Bit n is set if the counter `newest - n` was received.
     seen: u64,
-    /// When it was last heard, counted in datagrams.
-    heard: u64,
+    /// Number of the datagram, of all verified ones, that the sender last sent.
+    last_active: u64,
 }
 
 impl Window {
-    /// Takes a count in once.
-    fn takes(&mut self, count: u64) -> bool {
-        if count > self.newest {
-            let by = count - self.newest;
-            self.seen = if by < 64 { self.seen << by | 1 } else { 1 };
-            self.newest = count;
+    /// Returns true if the counter was not accepted before and is recent enough to know.
+    fn accept(&mut self, counter: u64) -> bool {
+        if counter > self.newest {
+            let advance = counter - self.newest;
+            self.seen = if advance < 64 { self.seen << advance | 1 } else { 1 };
+            self.newest = counter;
             return true;
         }
-        let back = self.newest - count;
-        let fresh = back < 64 && self.seen >> back & 1 == 0;
+        let age = self.newest - counter;
+        let fresh = age < 64 && self.seen >> age & 1 == 0;
         if fresh {
-            self.seen |= 1 << back;
+            self.seen |= 1 << age;
         }
         fresh
     }
 }
 
-/// A datagram that counts.
+/// A verified datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Opened<'a> {
     pub sender: Life,
@@ -112,54 +115,62 @@
 }
 
 impl Opened<'_> {
-    /// The number of a hint.
+    /// The number of a hint, or `None` if the body is not 8 bytes long.
     pub fn number(&self) -> Option<u64> {
         self.body.try_into().ok().map(u64::from_be_bytes)
     }
 }
 
-/// The receiver's side. Anybody who has the key is heard; so many senders are told apart, the longest silent gives way.
+/// Verifies datagrams, and accepts each once. Any sender with the key is accepted. Replay windows are kept for a limited
+/// number of senders; beyond it the one idle for the longest is forgotten.
 pub struct Inbox {
     key: Vec<u8>,
     senders: BTreeMap<Life, Window>,
-    most: usize,
-    /// Datagrams taken in, to tell which sender was heard last.
-    taken: u64,
+    max_senders: usize,
+    /// Datagrams with a valid MAC, to know which sender was idle for the longest.
+    verified: u64,
+    /// Datagrams refused.
     pub refused: u64,
 }
 
 impl Inbox {
-    /// A sender that was forgotten could have its datagrams doubled once more, which what is taken in has to bear.
-    pub fn new(key: &[u8], most: usize) -> Inbox {
-        Inbox { key: key.to_vec(), senders: BTreeMap::new(), most: most.max(1), taken: 0, refused: 0 }
+    /// Datagrams of a forgotten sender can be replayed once more, so duplicates must do no harm.
+    pub fn new(key: &[u8], max_senders: usize) -> Inbox {
+        Inbox {
+            key: key.to_vec(),
+            senders: BTreeMap::new(),
+            max_senders: max_senders.max(1),
+            verified: 0,
+            refused: 0,
+        }
     }
 
-    /// What a datagram says, if it counts.
-    pub fn open<'a>(&mut self, note: &'a [u8]) -> Result<Opened<'a>, Refused> {
-        let opened = self.look(note);
+    /// Verifies a datagram and returns its content.
+    pub fn open<'a>(&mut self, datagram: &'a [u8]) -> Result<Opened<'a>, Refused> {
+        let opened = self.verify(datagram);
         self.refused += u64::from(opened.is_err());
         opened
     }
 
-    fn look<'a>(&mut self, note: &'a [u8]) -> Result<Opened<'a>, Refused> {
-        if !(HEAD + TAG..=LENGTH).contains(&note.len()) || note[0] != VERSION {
+    fn verify<'a>(&mut self, datagram: &'a [u8]) -> Result<Opened<'a>, Refused> {
+        if !(HEADER_LENGTH + TAG_LENGTH..=LENGTH).contains(&datagram.len()) || datagram[0] != VERSION {
             return Err(Refused::Form);
         }
-        let (head, tag) = note.split_at(note.len() - TAG);
-        let mac = mac(&self.key, head).ok_or(Refused::Forged)?;
+        let (signed, tag) = datagram.split_at(datagram.len() - TAG_LENGTH);
+        let mac = mac(&self.key, signed).ok_or(Refused::Forged)?;
         mac.verify_slice(tag).map_err(|_| Refused::Forged)?;
-        let number = |at: usize| head[at..at + 8].iter().fold(0, |sum, byte| sum << 8 | u64::from(*byte));
+        let number = |at: usize| signed[at..at + 8].iter().fold(0, |sum, byte| sum << 8 | u64::from(*byte));
         let sender = number(1);
-        if !self.senders.contains_key(&sender) && self.senders.len() >= self.most {
-            let longest = self.senders.iter().min_by_key(|(life, window)| (window.heard, **life));
-            let longest = longest.map(|(life, _)| *life);
-            longest.map(|life| self.senders.remove(&life));
+        if !self.senders.contains_key(&sender) && self.senders.len() >= self.max_senders {
+            let idlest = self.senders.iter().min_by_key(|(sender, window)| (window.last_active, **sender));
+            let idlest = idlest.map(|(sender, _)| *sender);
+            idlest.map(|sender| self.senders.remove(&sender));
         }
         let window = self.senders.entry(sender).or_default();
-        self.taken += 1;
-        window.heard = self.taken;
-        match window.takes(number(9)) {
-            true => Ok(Opened { sender, kind: head[HEAD - 1], body: &head[HEAD..] }),
+        self.verified += 1;
+        window.last_active = self.verified;
+        match window.accept(number(9)) {
+            true => Ok(Opened { sender, kind: signed[HEADER_LENGTH - 1], body: &signed[HEADER_LENGTH..] }),
             false => Err(Refused::Replayed),
         }
     }
@@ -172,8 +183,8 @@
 
     const KEY: &[u8] = b"a key of thirty-two bytes or more";
 
-    fn read(inbox: &mut Inbox, note: &[u8]) -> Result<(Life, u8, u64), Refused> {
-        inbox.open(note).map(|opened| (opened.sender, opened.kind, opened.number().expect("a number")))
+    fn read(inbox: &mut Inbox, datagram: &[u8]) -> Result<(Life, u8, u64), Refused> {
+        inbox.open(datagram).map(|opened| (opened.sender, opened.kind, opened.number().expect("a number")))
     }
 
     fn pair() -> (Outbox, Inbox) {
@@ -181,21 +192,21 @@
     }
 
     #[test]
-    fn a_note_counts_once_in_any_order() {
+    fn each_hint_is_accepted_once_in_any_order() {
         let (mut outbox, mut inbox) = pair();
-        let notes: Vec<_> = (0..70).map(|number| outbox.note(kind::LOOK, number)).collect();
-        assert_eq!(read(&mut inbox, &notes[1]), Ok((7, kind::LOOK, 1)));
-        assert_eq!(read(&mut inbox, &notes[0]), Ok((7, kind::LOOK, 0)));
-        assert_eq!(read(&mut inbox, &notes[1]), Err(Refused::Replayed));
-        assert_eq!(read(&mut inbox, &notes[69]), Ok((7, kind::LOOK, 69)));
-        assert_eq!(read(&mut inbox, &notes[2]), Err(Refused::Replayed), "too old to tell");
-        assert_eq!(read(&mut inbox, &notes[68]), Ok((7, kind::LOOK, 68)));
+        let hints: Vec<_> = (0..70).map(|number| outbox.note(kind::LOOK, number)).collect();
+        assert_eq!(read(&mut inbox, &hints[1]), Ok((7, kind::LOOK, 1)));
+        assert_eq!(read(&mut inbox, &hints[0]), Ok((7, kind::LOOK, 0)));
+        assert_eq!(read(&mut inbox, &hints[1]), Err(Refused::Replayed));
+        assert_eq!(read(&mut inbox, &hints[69]), Ok((7, kind::LOOK, 69)));
+        assert_eq!(read(&mut inbox, &hints[2]), Err(Refused::Replayed), "outside the replay window");
+        assert_eq!(read(&mut inbox, &hints[68]), Ok((7, kind::LOOK, 68)));
     }
 
     #[test]
-    fn anybody_with_the_key_is_heard_and_the_longest_silent_forgotten_first() {
+    fn any_sender_with_the_key_is_accepted_and_the_longest_idle_is_forgotten_first() {
         let mut inbox = Inbox::new(KEY, 2);
-        let mut outboxes: Vec<_> = (1..4).map(|life| Outbox::new(KEY, life)).collect();
+        let mut outboxes: Vec<_> = (1..4).map(|sender| Outbox::new(KEY, sender)).collect();
         let first = outboxes[0].seal(3, b"body");
         assert_eq!(inbox.open(&first), Ok(Opened { sender: 1, kind: 3, body: b"body" }));
         let second = outboxes[1].seal(4, &[0; BODY]);
@@ -203,20 +214,24 @@
         assert!(inbox.open(&second).is_ok());
         assert_eq!(inbox.open(&first), Err(Refused::Replayed));
         assert!(inbox.open(&outboxes[2].seal(3, b"")).is_ok());
-        assert_eq!(inbox.open(&first), Err(Refused::Replayed), "a doubled one keeps its sender in mind");
-        assert!(inbox.open(&second).is_ok(), "forgotten, and heard once more");
+        assert_eq!(
+            inbox.open(&first),
+            Err(Refused::Replayed),
+            "a replayed datagram counts as activity of its sender"
+        );
+        assert!(inbox.open(&second).is_ok(), "its sender was forgotten, so a replay is accepted");
         assert_eq!(inbox.open(&Outbox::new(b"another", 9).seal(3, b"")), Err(Refused::Forged));
-        assert_eq!(inbox.senders.len(), 2, "a forged one makes nobody forgotten");
+        assert_eq!(inbox.senders.len(), 2, "a forged datagram evicts no sender");
         assert_eq!(inbox.open(&outboxes[0].seal(3, &[0; BODY + 1])), Err(Refused::Form));
     }
 
     proptest! {
         #[test]
-        fn no_change_of_a_note_is_taken_in(at in 0..58usize, bit in 0u8..8, number: u64) {
+        fn a_datagram_with_a_changed_bit_is_refused(at in 0..58usize, bit in 0u8..8, number: u64) {
             let (mut outbox, mut inbox) = pair();
-            let mut note = outbox.note(kind::LIST, number);
-            note[at] ^= 1 << bit;
-            prop_assert!(inbox.open(&note).is_err());
+            let mut datagram = outbox.note(kind::LIST, number);
+            datagram[at] ^= 1 << bit;
+            prop_assert!(inbox.open(&datagram).is_err());
         }
 
         #[test]
