--- a/crates/view/tests/fleet/main.rs
+++ b/crates/view/tests/fleet/main.rs
@@ -3,7 +3,7 @@
 mod common;
 mod faults;
 mod measure;
+mod pauses;
 mod settles;
-mod stands;
-mod switches;
+mod toggles;
 mod wire;
--- a/crates/view/tests/standstill.rs
+++ b/crates/view/tests/standstill.rs
@@ -1,5 +1,5 @@
 //! What is not concluded from a silence of one's own making: an answer that came while a member stood still came in time.
-//! Beside the days of `fleet/stands.rs`.
+//! Beside the days of `fleet/pauses.rs`.
 
 #[allow(dead_code)]
 #[path = "fleet/common.rs"]
