--- a/crates/view/tests/fleet/common.rs
+++ b/crates/view/tests/fleet/common.rs
@@ -1,4 +1,5 @@
-//! A fleet in simulated time: the core itself, and a network that loses, delays, cuts and doubles by the pair.
+//! A fleet in simulated time: the real protocol core on a simulated network that delays datagrams, loses them, and cuts
+//! links between pairs of members.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -6,13 +7,15 @@
 
 use ravenspar_view::{Kind, Settings, Switches, Time, View};
 
+/// One second in the units of [`Time`].
 pub const SECOND: Time = 10_000;
 
+/// A member's process, running or crashed.
 pub struct Node {
     pub view: Option<View>,
-    /// Until then it does not run; what comes meanwhile waits.
-    pub stopped: Time,
-    waits: Vec<(SocketAddr, Kind, Vec<u8>)>,
+    /// It is paused until then; datagrams that arrive meanwhile wait in its inbox.
+    pub paused_until: Time,
+    inbox: Vec<(SocketAddr, Kind, Vec<u8>)>,
     pub starts: u64,
 }
 
@@ -22,23 +25,29 @@
     Arrive { to: usize, from: usize, kind: Kind, body: Vec<u8> },
 }
 
+/// Members, their network and the queue of simulated events.
 pub struct Fleet {
     pub now: Time,
     pub nodes: Vec<Node>,
+    /// Members whose addresses all are configured with as peers.
     pub seeds: Vec<usize>,
     pub switches: Switches,
     pub rng: fastrand::Rng,
     queue: BinaryHeap<Reverse<(Time, u64, Event)>>,
-    count: u64,
-    /// The part of datagrams lost on every way, and beside that on ways of a member, or from one to another.
+    event_count: u64,
+    /// Loss rate of every link.
     pub loss: f64,
+    /// Additional loss rate of all links of a member.
     pub loss_of: BTreeMap<usize, f64>,
+    /// Links that lose everything, by sender and receiver.
     pub cut: std::collections::BTreeSet<(usize, usize)>,
+    /// Minimal delay; as much again is added at random.
     pub delay: Time,
-    /// Until then whatever carries the datagrams stands still: what is sent meanwhile arrives when it goes on.
-    pub held: Time,
-    /// Of each member.
+    /// The network is paused until then; what is sent meanwhile is delivered afterwards.
+    pub network_paused_until: Time,
+    /// Probe round of the members.
     pub round: Time,
+    /// Datagrams and bytes sent by each member.
     pub sent: Vec<u64>,
     pub bytes: Vec<u64>,
 }
@@ -48,7 +57,7 @@
 }
 
 impl Fleet {
-    /// So many members that start together and know the first.
+    /// A fleet of `members` not yet started members, which know the address of the first.
     pub fn new(seed: u64, members: usize) -> Fleet {
         let mut fleet = Fleet {
             now: 1_000 * SECOND,
@@ -57,12 +66,12 @@
             switches: Switches::default(),
             rng: fastrand::Rng::with_seed(seed),
             queue: BinaryHeap::new(),
-            count: 0,
+            event_count: 0,
             loss: 0.0,
             loss_of: BTreeMap::new(),
             cut: Default::default(),
             delay: 10,
-            held: 0,
+            network_paused_until: 0,
             round: ravenspar_view::ROUND,
             sent: Vec::new(),
             bytes: Vec::new(),
@@ -71,24 +80,26 @@
         fleet
     }
 
+    /// Adds a member without starting it.
     pub fn add(&mut self) -> usize {
         let n = self.nodes.len();
-        self.nodes.push(Node { view: None, stopped: 0, waits: Vec::new(), starts: 0 });
+        self.nodes.push(Node { view: None, paused_until: 0, inbox: Vec::new(), starts: 0 });
         self.sent.push(0);
         self.bytes.push(0);
         n
     }
 
+    /// Starts a member's process, or restarts it.
     pub fn start(&mut self, n: usize) {
         let peers: Vec<SocketAddr> = self.seeds.iter().map(|&seed| address(seed)).collect();
         let mut cfg = Settings::new(&format!("steward-{n}"), address(n), &peers);
         (cfg.round, cfg.switches) = (self.round, self.switches);
         self.nodes[n].starts += 1;
-        self.nodes[n].waits.clear();
-        // The wall clock in milliseconds, as the program has it.
-        let life = self.now as u64 / 10;
-        self.nodes[n].view = Some(View::new(self.now, life, self.rng.u64(..), cfg));
-        self.nodes[n].stopped = 0;
+        self.nodes[n].inbox.clear();
+        // Wall-clock milliseconds, as in the program.
+        let incarnation = self.now as u64 / 10;
+        self.nodes[n].view = Some(View::new(self.now, incarnation, self.rng.u64(..), cfg));
+        self.nodes[n].paused_until = 0;
         self.flush(n);
     }
 
@@ -101,10 +112,10 @@
     }
 
     pub fn view(&self, n: usize) -> &View {
-        self.nodes[n].view.as_ref().expect("it runs")
+        self.nodes[n].view.as_ref().expect("the member is running")
     }
 
-    /// Cuts all ways between two sides, in both directions.
+    /// Cuts all links between these members and the rest, in both directions.
     pub fn split(&mut self, side: &[usize]) {
         for a in 0..self.nodes.len() {
             for b in 0..self.nodes.len() {
@@ -119,42 +130,42 @@
         self.cut.clear();
     }
 
-    fn put(&mut self, at: Time, event: Event) {
-        self.count += 1;
-        self.queue.push(Reverse((at, self.count, event)));
+    fn schedule(&mut self, at: Time, event: Event) {
+        self.event_count += 1;
+        self.queue.push(Reverse((at, self.event_count, event)));
     }
 
-    /// Sends what a member has to say, and notes when to wake it.
+    /// Sends a member's pending datagrams, and schedules its next timeout.
     pub fn flush(&mut self, n: usize) {
         let Some(mut view) = self.nodes[n].view.take() else { return };
         while let Some(send) = view.poll() {
             assert!(send.body.len() <= ravenspar_view::MAX_BODY_LENGTH);
             self.sent[n] += 1;
-            // With the envelope.
+            // The envelope adds 50 bytes.
             self.bytes[n] += send.body.len() as u64 + 50;
             let to = match send.to {
                 SocketAddr::V4(at) => (u32::from(*at.ip()) - 0x7f00_0001) as usize,
                 SocketAddr::V6(_) => continue,
             };
-            let own = |m: &usize| self.loss_of.get(m).copied().unwrap_or(0.0);
-            let passes = (1.0 - self.loss) * (1.0 - own(&n)) * (1.0 - own(&to));
-            if to >= self.nodes.len() || self.cut.contains(&(n, to)) || self.rng.f64() >= passes {
+            let loss_of = |m: &usize| self.loss_of.get(m).copied().unwrap_or(0.0);
+            let delivery_rate = (1.0 - self.loss) * (1.0 - loss_of(&n)) * (1.0 - loss_of(&to));
+            if to >= self.nodes.len() || self.cut.contains(&(n, to)) || self.rng.f64() >= delivery_rate {
                 continue;
             }
-            let at = self.now.max(self.held) + self.delay + self.rng.i64(0..=self.delay);
-            self.put(at, Event::Arrive { to, from: n, kind: send.kind, body: send.body });
+            let at = self.now.max(self.network_paused_until) + self.delay + self.rng.i64(0..=self.delay);
+            self.schedule(at, Event::Arrive { to, from: n, kind: send.kind, body: send.body });
         }
         let wake = view.next_timeout();
         self.nodes[n].view = Some(view);
-        self.put(wake.max(self.now), Event::Wake(n));
+        self.schedule(wake.max(self.now), Event::Wake(n));
     }
 
     fn run_node(&mut self, n: usize) {
         let now = self.now;
-        let waits = std::mem::take(&mut self.nodes[n].waits);
+        let inbox = std::mem::take(&mut self.nodes[n].inbox);
         if let Some(view) = &mut self.nodes[n].view {
             view.handle_timeout(now);
-            waits.into_iter().for_each(|(from, kind, body)| view.handle(now, from, kind, &body));
+            inbox.into_iter().for_each(|(from, kind, body)| view.handle(now, from, kind, &body));
             self.flush(n);
         }
     }
@@ -166,10 +177,10 @@
             match event {
                 Event::Wake(n) => {
                     let Some(view) = &self.nodes[n].view else { continue };
-                    if self.nodes[n].stopped > at {
-                        let again = self.nodes[n].stopped;
-                        self.put(again, Event::Wake(n));
-                    } else if view.next_timeout() <= at || !self.nodes[n].waits.is_empty() {
+                    if self.nodes[n].paused_until > at {
+                        let resumed_at = self.nodes[n].paused_until;
+                        self.schedule(resumed_at, Event::Wake(n));
+                    } else if view.next_timeout() <= at || !self.nodes[n].inbox.is_empty() {
                         self.run_node(n);
                     }
                 }
@@ -177,11 +188,11 @@
                     if self.nodes[to].view.is_none() {
                         continue;
                     }
-                    // A socket's buffer holds so many.
-                    if self.nodes[to].waits.len() < 800 {
-                        self.nodes[to].waits.push((address(from), kind, body));
+                    // The socket buffer holds 800 datagrams.
+                    if self.nodes[to].inbox.len() < 800 {
+                        self.nodes[to].inbox.push((address(from), kind, body));
                     }
-                    if self.nodes[to].stopped <= at {
+                    if self.nodes[to].paused_until <= at {
                         self.run_node(to);
                     }
                 }
@@ -198,23 +209,23 @@
         (0..self.nodes.len()).filter(|&n| self.nodes[n].view.is_some()).collect()
     }
 
-    /// Whether these show one view, with just themselves in it.
+    /// Returns true if these members all show the same view, and it consists of just themselves.
     pub fn agree(&self, members: &[usize]) -> bool {
-        let truth: BTreeMap<String, u64> =
+        let expected: BTreeMap<String, u64> =
             members.iter().map(|&n| (format!("steward-{n}"), self.view(n).incarnation())).collect();
         let digest = self.view(members[0]).shown().1;
         members.iter().all(|&n| {
             let shown: BTreeMap<String, u64> =
-                self.view(n).names().map(|(name, life)| (name.to_owned(), life)).collect();
-            shown == truth && self.view(n).shown().1 == digest
+                self.view(n).names().map(|(name, incarnation)| (name.to_owned(), incarnation)).collect();
+            shown == expected && self.view(n).shown().1 == digest
         })
     }
 
-    /// Runs until these agree, and returns how long it took.
-    pub fn until_agreed(&mut self, members: &[usize], most: Time) -> Option<Time> {
+    /// Runs until these members agree. Returns how long that took, or `None` if it exceeds `limit`.
+    pub fn until_agreed(&mut self, members: &[usize], limit: Time) -> Option<Time> {
         let began = self.now;
         while !self.agree(members) {
-            if self.now - began >= most {
+            if self.now - began >= limit {
                 return None;
             }
             self.run(SECOND / 20);
@@ -222,13 +233,18 @@
         Some(self.now - began)
     }
 
-    /// What each shows, for a message of a test that failed.
-    pub fn told(&self) -> String {
+    /// Each member's state, for the message of a failed assertion.
+    pub fn describe(&self) -> String {
         let one = |n: usize| {
             let view = self.view(n);
-            let names: Vec<String> = view.names().map(|(name, life)| format!("{name}/{life}")).collect();
+            let names: Vec<String> =
+                view.names().map(|(name, incarnation)| format!("{name}/{incarnation}")).collect();
             let cut = view.is_cut_off(self.now);
-            format!("{n}: life {} cut off {cut} shows {names:?} {:?}\n", view.incarnation(), view.figures())
+            format!(
+                "{n}: incarnation {} cut off {cut} shows {names:?} {:?}\n",
+                view.incarnation(),
+                view.figures()
+            )
         };
         self.live().into_iter().map(one).collect()
     }
--- a/crates/view/tests/fleet/faults.rs
+++ b/crates/view/tests/fleet/faults.rs
@@ -1,4 +1,4 @@
-//! Bad links, members that stand still or crawl, and storms of all of it, in simulated time.
+//! Bad links, paused and slow members, and combinations of faults, in simulated time.
 
 use crate::common::{Fleet, SECOND};
 
@@ -6,18 +6,18 @@
     let mut fleet = Fleet::new(seed, members);
     fleet.start_all();
     let all = fleet.live();
-    assert!(fleet.until_agreed(&all, 30 * SECOND).is_some(), "{}", fleet.told());
+    assert!(fleet.until_agreed(&all, 30 * SECOND).is_some(), "{}", fleet.describe());
     fleet.run(10 * SECOND);
     fleet
 }
 
-/// Changes of view that each has shown, and lives that each had.
+/// View changes and incarnations of each of these members.
 fn counts(fleet: &Fleet, of: &[usize]) -> Vec<(u64, u64)> {
     of.iter().map(|&n| (fleet.view(n).figures().changes, fleet.view(n).figures().lives)).collect()
 }
 
 #[test]
-fn a_fleet_at_rest_changes_nothing_and_costs_the_same_whatever_its_size() {
+fn a_healthy_fleet_keeps_its_view_and_its_traffic_per_member_is_bounded_at_any_size() {
     let mut cost = Vec::new();
     for members in [5, 25, 100] {
         let mut fleet = settled(7, members);
@@ -28,7 +28,7 @@
         let of = |now: &[u64], then: &[u64]| now.iter().zip(then).map(|(a, b)| a - b).max();
         cost.push((of(&fleet.sent, &sent), of(&fleet.bytes, &bytes)));
     }
-    // Datagrams and bytes a second of the one that sends most: some are watched by more than others.
+    // Datagrams and bytes per second of the member that sends most: some observe more members than others.
     let bound = |(sent, bytes): &(Option<u64>, Option<u64>)| {
         sent.is_some_and(|sent| sent < 30 * 60) && bytes.is_some_and(|bytes| bytes < 30 * 7_000)
     };
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn two_halves_with_one_between_stay_one_fleet() {
+fn two_halves_linked_by_one_member_stay_one_fleet() {
     for seed in 1..=10 {
         let mut fleet = settled(seed, 9);
         let before = counts(&fleet, &fleet.live());
@@ -48,15 +48,16 @@
         }
         fleet.run(60 * SECOND);
         let all = fleet.live();
-        assert!(fleet.agree(&all), "seed {seed}\n{}", fleet.told());
-        assert_eq!(before, counts(&fleet, &all), "seed {seed}\n{}", fleet.told());
+        assert!(fleet.agree(&all), "seed {seed}\n{}", fleet.describe());
+        assert_eq!(before, counts(&fleet, &all), "seed {seed}\n{}", fleet.describe());
         fleet.heal();
         fleet.run(10 * SECOND);
-        assert_eq!(before, counts(&fleet, &all), "seed {seed}\n{}", fleet.told());
+        assert_eq!(before, counts(&fleet, &all), "seed {seed}\n{}", fleet.describe());
     }
 }
 
-/// The others drop the one, show the same, and nobody else has another life; once it is well it is back.
+/// A link that works in one direction only: the others drop the member, agree, and keep their incarnations; it rejoins once
+/// the link heals.
 fn one_way(from_it: bool) {
     for seed in 1..=10 {
         let mut fleet = settled(seed, 9);
@@ -66,121 +67,135 @@
             fleet.cut.insert(if from_it { (0, n) } else { (n, 0) });
         }
         let took = fleet.until_agreed(&rest, 10 * SECOND);
-        assert!(took.is_some(), "seed {seed}\n{}", fleet.told());
+        assert!(took.is_some(), "seed {seed}\n{}", fleet.describe());
         fleet.run(60 * SECOND);
-        assert!(fleet.agree(&rest), "seed {seed}\n{}", fleet.told());
+        assert!(fleet.agree(&rest), "seed {seed}\n{}", fleet.describe());
         let after = counts(&fleet, &rest);
-        for ((changes, lives), (then, lived)) in after.iter().zip(&before) {
-            assert_eq!((*changes, lives), (then + 1, lived), "seed {seed}\n{}", fleet.told());
+        for ((changes, incarnations), (changes_before, incarnations_before)) in after.iter().zip(&before) {
+            assert_eq!(
+                (*changes, incarnations),
+                (changes_before + 1, incarnations_before),
+                "seed {seed}\n{}",
+                fleet.describe()
+            );
         }
-        assert!(fleet.view(0).is_cut_off(fleet.now), "seed {seed}\n{}", fleet.told());
+        assert!(fleet.view(0).is_cut_off(fleet.now), "seed {seed}\n{}", fleet.describe());
         fleet.heal();
         let all = fleet.live();
-        assert!(fleet.until_agreed(&all, 60 * SECOND).is_some(), "seed {seed}\n{}", fleet.told());
+        assert!(fleet.until_agreed(&all, 60 * SECOND).is_some(), "seed {seed}\n{}", fleet.describe());
     }
 }
 
 #[test]
-fn one_that_sends_and_hears_nothing_is_dropped_and_drops_nobody() {
+fn a_member_that_can_only_send_is_dropped_and_drops_no_other() {
     one_way(false);
 }
 
 #[test]
-fn one_that_hears_and_cannot_send_is_dropped_and_drops_nobody() {
+fn a_member_that_can_only_receive_is_dropped_and_drops_no_other() {
     one_way(true);
 }
 
 #[test]
-fn one_on_a_bad_link_costs_no_other_its_place_and_does_not_come_and_go_without_end() {
+fn a_member_on_a_bad_link_causes_no_other_drops_and_rejoins_with_backoff() {
     for seed in 1..=10 {
         let mut fleet = settled(seed, 9);
         let rest: Vec<usize> = (1..9).collect();
         let before = counts(&fleet, &rest);
         (fleet.loss, fleet.loss_of) = (0.05, [(0, 0.8)].into());
         fleet.run(120 * SECOND);
-        for ((changes, lives), (then, lived)) in counts(&fleet, &rest).iter().zip(&before) {
-            assert_eq!(lives, lived, "seed {seed}\n{}", fleet.told());
-            // It is dropped, and comes back by chance now and then, later each time: over 300 seeds twice at the median, 18
-            // changes at most.
-            assert!(changes - then <= 20, "seed {seed}\n{}", fleet.told());
+        for ((changes, incarnations), (changes_before, incarnations_before)) in
+            counts(&fleet, &rest).iter().zip(&before)
+        {
+            assert_eq!(incarnations, incarnations_before, "seed {seed}\n{}", fleet.describe());
+            // It is dropped and rejoins now and then, with longer waits: over 300 seeds twice at the median, with at most
+            // 18 changes.
+            assert!(changes - changes_before <= 20, "seed {seed}\n{}", fleet.describe());
         }
     }
 }
 
-/// Three of nine lose most of what they send and hear: how many of the others lost their places by it.
-fn places_lost_by_bad_links(seed: u64) -> usize {
+/// Three of nine members lose most of what they send and receive. Returns how many of the others were dropped.
+fn healthy_dropped_by_bad_links(seed: u64) -> usize {
     let mut fleet = settled(seed, 9);
     fleet.loss = 0.05;
     fleet.run(5 * SECOND);
-    let well: Vec<usize> = (3..9).collect();
-    let before = counts(&fleet, &well);
+    let healthy: Vec<usize> = (3..9).collect();
+    let before = counts(&fleet, &healthy);
     fleet.loss_of = (0..3).map(|n| (n, 0.85)).collect();
     fleet.run(40 * SECOND);
-    let after = counts(&fleet, &well);
-    after.iter().zip(&before).filter(|((_, lives), (_, lived))| lives != lived).count()
+    let after = counts(&fleet, &healthy);
+    after
+        .iter()
+        .zip(&before)
+        .filter(|((_, incarnations), (_, incarnations_before))| incarnations != incarnations_before)
+        .count()
 }
 
 #[test]
-fn three_on_bad_links_cost_no_other_its_place() {
-    // Seeds at which somebody lost its place while a link that went bad was only seen as bad after eight rounds.
+fn three_members_on_bad_links_cause_no_other_drops() {
+    // Seeds at which a healthy member was dropped while it took eight rounds to detect that one's own link is bad.
     for seed in [11, 20, 21, 60, 66] {
-        assert_eq!(places_lost_by_bad_links(seed), 0, "seed {seed}");
+        assert_eq!(healthy_dropped_by_bad_links(seed), 0, "seed {seed}");
     }
 }
 
 #[test]
-#[ignore = "a search: RUNS and FIRST say how many and from where"]
+#[ignore = "a long search; RUNS and FIRST set the number of runs and the first seed"]
 fn many_bad_links() {
     let number = |name: &str, or: u64| std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(or);
     let (runs, first) = (number("RUNS", 2_000), number("FIRST", 1));
-    let bad: Vec<u64> = (first..first + runs).filter(|seed| places_lost_by_bad_links(*seed) > 0).collect();
-    println!("{} of {runs} runs cost somebody its place: {:?}", bad.len(), &bad[..bad.len().min(20)]);
+    let bad: Vec<u64> =
+        (first..first + runs).filter(|seed| healthy_dropped_by_bad_links(*seed) > 0).collect();
+    println!("{} of {runs} runs dropped a healthy member: {:?}", bad.len(), &bad[..bad.len().min(20)]);
 }
 
 #[test]
-fn one_that_runs_a_tenth_of_the_time_costs_no_other_its_place() {
+fn a_member_that_runs_a_tenth_of_the_time_causes_no_other_drops() {
     for seed in 1..=10 {
         let mut fleet = settled(seed, 9);
         let rest: Vec<usize> = (1..9).collect();
         let before = counts(&fleet, &rest);
         for _ in 0..600 {
             fleet.run(SECOND / 100);
-            fleet.nodes[0].stopped = fleet.now + 9 * SECOND / 100;
+            fleet.nodes[0].paused_until = fleet.now + 9 * SECOND / 100;
             fleet.run(9 * SECOND / 100);
         }
-        for ((changes, lives), (then, lived)) in counts(&fleet, &rest).iter().zip(&before) {
-            assert_eq!(lives, lived, "seed {seed}\n{}", fleet.told());
-            assert!(changes - then <= 2, "seed {seed}\n{}", fleet.told());
+        for ((changes, incarnations), (changes_before, incarnations_before)) in
+            counts(&fleet, &rest).iter().zip(&before)
+        {
+            assert_eq!(incarnations, incarnations_before, "seed {seed}\n{}", fleet.describe());
+            assert!(changes - changes_before <= 2, "seed {seed}\n{}", fleet.describe());
         }
     }
 }
 
 #[test]
-fn one_that_stood_still_is_back_as_another_life_and_takes_nobody_for_dead() {
+fn a_member_that_was_paused_rejoins_and_drops_no_other() {
     for seed in 1..=10 {
         let mut fleet = settled(seed, 5);
         let rest: Vec<usize> = (1..5).collect();
-        let (before, life) = (counts(&fleet, &rest), fleet.view(0).incarnation());
-        fleet.nodes[0].stopped = fleet.now + 10 * SECOND;
+        let (before, incarnation) = (counts(&fleet, &rest), fleet.view(0).incarnation());
+        fleet.nodes[0].paused_until = fleet.now + 10 * SECOND;
         fleet.run(20 * SECOND);
         let all = fleet.live();
-        assert!(fleet.agree(&all), "seed {seed}\n{}", fleet.told());
-        assert!(fleet.view(0).incarnation() > life);
-        for ((_, lives), (_, lived)) in counts(&fleet, &rest).iter().zip(&before) {
-            assert_eq!(lives, lived, "seed {seed}\n{}", fleet.told());
+        assert!(fleet.agree(&all), "seed {seed}\n{}", fleet.describe());
+        assert!(fleet.view(0).incarnation() > incarnation);
+        for ((_, incarnations), (_, incarnations_before)) in counts(&fleet, &rest).iter().zip(&before) {
+            assert_eq!(incarnations, incarnations_before, "seed {seed}\n{}", fleet.describe());
         }
     }
 }
 
-/// Joins, crashes, restarts, splits, stops and losses overlapping, from the seed; then all is well. Returns how long the
-/// fleet took to settle after the last fault, if it did within a minute.
+/// Plays overlapping joins, crashes, restarts, splits, pauses and losses drawn from the seed, then heals all. Returns how
+/// long the fleet took to agree after that, or `None` if it did not within a minute.
 fn storm(seed: u64, members: usize, switches: ravenspar_view::Switches) -> Option<i64> {
     let mut fleet = Fleet::new(seed, members);
     fleet.switches = switches;
     fleet.seeds = vec![0, 1];
     fleet.start_all();
     fleet.run(3 * SECOND);
-    // No life that all others dropped is shown again: lives of a name only grow, at every member.
+    // A dropped incarnation is never shown again: at every member, the incarnations of a name only grow.
     let mut shown = vec![std::collections::BTreeMap::<String, u64>::new(); members];
     for _ in 0..20 {
         let n = fleet.rng.usize(..members);
@@ -190,7 +205,7 @@
                 fleet.start(n);
                 shown[n].clear();
             }
-            3 => fleet.nodes[n].stopped = fleet.now + fleet.rng.i64(0..5 * SECOND),
+            3 => fleet.nodes[n].paused_until = fleet.now + fleet.rng.i64(0..5 * SECOND),
             4 => {
                 let side: Vec<usize> = (0..members).filter(|_| fleet.rng.bool()).collect();
                 fleet.split(&side);
@@ -206,10 +221,13 @@
         fleet.run(span);
         for n in fleet.live() {
             let now: Vec<(String, u64)> =
-                fleet.view(n).names().map(|(name, life)| (name.to_owned(), life)).collect();
-            for (name, life) in now {
-                let before = shown[n].insert(name.clone(), life).unwrap_or(0);
-                assert!(before <= life, "seed {seed}: {n} shows life {life} of {name} after {before}");
+                fleet.view(n).names().map(|(name, incarnation)| (name.to_owned(), incarnation)).collect();
+            for (name, incarnation) in now {
+                let before = shown[n].insert(name.clone(), incarnation).unwrap_or(0);
+                assert!(
+                    before <= incarnation,
+                    "seed {seed}: {n} shows incarnation {incarnation} of {name} after {before}"
+                );
             }
         }
     }
@@ -219,12 +237,12 @@
         if fleet.nodes[n].view.is_none() {
             fleet.start(n);
         }
-        fleet.nodes[n].stopped = fleet.nodes[n].stopped.min(fleet.now);
+        fleet.nodes[n].paused_until = fleet.nodes[n].paused_until.min(fleet.now);
         fleet.flush(n);
     }
     let all = fleet.live();
     let Some(took) = fleet.until_agreed(&all, 60 * SECOND) else {
-        println!("seed {seed}:\n{}", fleet.told());
+        println!("seed {seed}:\n{}", fleet.describe());
         return None;
     };
     fleet.run(5 * SECOND);
@@ -232,7 +250,7 @@
 }
 
 #[test]
-fn storms_end_in_one_view() {
+fn fleets_agree_after_overlapping_faults() {
     for seed in 0..40 {
         let members = [3, 5, 9][seed as usize % 3];
         let took = storm(seed, members, Default::default());
@@ -240,7 +258,7 @@
     }
 }
 
-/// `cargo test --release -p ravenspar-view --test faults many_storms -- --ignored --nocapture`
+/// `cargo test --release -p ravenspar-view --test fleet many_storms -- --ignored --nocapture`
 #[test]
 #[ignore = "a long search"]
 fn many_storms() {
@@ -255,6 +273,12 @@
         }
     }
     all.sort_unstable();
-    let at = |part: usize| all[(all.len() - 1) * part / 1000] as f64 / SECOND as f64;
-    println!("{} of {runs} settled; s: median {}, 99th {}, worst {}", all.len(), at(500), at(990), at(1000));
+    let per_mille = |n: usize| all[(all.len() - 1) * n / 1000] as f64 / SECOND as f64;
+    println!(
+        "{} of {runs} settled; seconds: median {}, 99th {}, worst {}",
+        all.len(),
+        per_mille(500),
+        per_mille(990),
+        per_mille(1000)
+    );
 }
--- a/crates/view/tests/fleet/main.rs
+++ b/crates/view/tests/fleet/main.rs
@@ -1,4 +1,4 @@
-//! The core in simulated time.
+//! Tests of the membership protocol in simulated time.
 
 mod common;
 mod faults;
--- a/crates/view/tests/fleet/measure.rs
+++ b/crates/view/tests/fleet/measure.rs
@@ -1,4 +1,4 @@
-//! What the view costs and how long it takes, in simulated time: figures for `docs/measurements.md`.
+//! Measures the protocol's traffic and convergence times in simulated time, for `docs/measurements.md`.
 //!
 //! `cargo test --release -p ravenspar-view --test fleet measure -- --ignored --nocapture`
 
@@ -13,29 +13,36 @@
     Some((fleet, took))
 }
 
-fn told(what: &str, members: usize, mut times: Vec<i64>) {
+/// Prints a table row with percentiles.
+fn print_row(what: &str, members: usize, mut times: Vec<i64>) {
     times.sort_unstable();
-    let at = |part: usize| times[(times.len() - 1) * part / 100] as f64 / SECOND as f64;
-    println!("| {what} | {members} | {} | {:.2} | {:.2} | {:.2} |", times.len(), at(50), at(99), at(100));
+    let percentile = |percent: usize| times[(times.len() - 1) * percent / 100] as f64 / SECOND as f64;
+    println!(
+        "| {what} | {members} | {} | {:.2} | {:.2} | {:.2} |",
+        times.len(),
+        percentile(50),
+        percentile(99),
+        percentile(100)
+    );
 }
 
 #[test]
-#[ignore = "figures"]
+#[ignore = "prints measurements"]
 fn measure_times() {
     println!("| what | members | runs | median, s | 99th | worst |");
     for (members, runs) in [(3, 200), (5, 200), (9, 200), (25, 100), (100, 20), (1_000, 1)] {
         let (mut starts, mut joins, mut crashes, mut heals) = (vec![], vec![], vec![], vec![]);
         for seed in 0..runs {
-            let (mut fleet, took) = settled(seed, members).expect("it settles");
+            let (mut fleet, took) = settled(seed, members).expect("the fleet settles");
             starts.push(took);
             let late = fleet.add();
             fleet.start(late);
             let all = fleet.live();
-            joins.push(fleet.until_agreed(&all, 60 * SECOND).expect("it joins"));
+            joins.push(fleet.until_agreed(&all, 60 * SECOND).expect("the fleet agrees after a join"));
             fleet.run(5 * SECOND);
             fleet.crash(late);
             let left = fleet.live();
-            crashes.push(fleet.until_agreed(&left, 60 * SECOND).expect("it is seen"));
+            crashes.push(fleet.until_agreed(&left, 60 * SECOND).expect("the fleet agrees after a crash"));
             if members > 100 {
                 continue;
             }
@@ -43,31 +50,32 @@
             fleet.split(&side);
             fleet.run(20 * SECOND);
             fleet.heal();
-            heals.push(fleet.until_agreed(&left, 120 * SECOND).expect("it heals"));
+            heals.push(fleet.until_agreed(&left, 120 * SECOND).expect("the fleet agrees after a split"));
         }
-        told("start to one view", members, starts);
-        told("join to one view", members, joins);
-        told("crash to one view without it", members, crashes);
+        print_row("start to one view", members, starts);
+        print_row("join to one view", members, joins);
+        print_row("crash to one view without it", members, crashes);
         if !heals.is_empty() {
-            told("heal to one view", members, heals);
+            print_row("heal to one view", members, heals);
         }
     }
 }
 
 #[test]
-#[ignore = "figures"]
+#[ignore = "prints measurements"]
 fn measure_wrong_drops_and_cost() {
     println!("| loss | member-hours | healthy members dropped | datagrams, bytes a second and member |");
     for loss in [0.0, 0.05, 0.2, 0.4] {
         let (mut drops, mut hours, mut sent, mut bytes, mut seconds) = (0, 0.0, 0, 0, 0);
         for seed in 0..100 {
-            let (mut fleet, _) = settled(seed, 9).expect("it settles");
+            let (mut fleet, _) = settled(seed, 9).expect("the fleet settles");
             fleet.loss = loss;
-            let lives =
+            let incarnations =
                 |fleet: &Fleet| fleet.live().iter().map(|&n| fleet.view(n).figures().lives).sum::<u64>();
-            let before = (lives(&fleet), fleet.sent.iter().sum::<u64>(), fleet.bytes.iter().sum::<u64>());
+            let before =
+                (incarnations(&fleet), fleet.sent.iter().sum::<u64>(), fleet.bytes.iter().sum::<u64>());
             fleet.run(4_000 * SECOND);
-            drops += lives(&fleet) - before.0;
+            drops += incarnations(&fleet) - before.0;
             sent += fleet.sent.iter().sum::<u64>() - before.1;
             bytes += fleet.bytes.iter().sum::<u64>() - before.2;
             seconds += 9 * 4_000;
--- a/crates/view/tests/fleet/toggles.rs
+++ b/crates/view/tests/fleet/toggles.rs
@@ -1,4 +1,4 @@
-//! What breaks with a part of the core left out: the tests of the fleet see it.
+//! Turning off a part of the protocol breaks a property that the other tests check.
 
 use crate::common::{Fleet, SECOND};
 use ravenspar_view::Switches;
@@ -13,7 +13,7 @@
     fleet
 }
 
-/// Lives that others than the first had to take up, in runs of a minute in which the first alone has a bad link.
+/// Plays minutes in which only the first member has a bad link. Returns after how many runs another one was dropped.
 fn false_drops(switches: Switches, seeds: std::ops::Range<u64>) -> Option<u64> {
     let mut runs = 0;
     for seed in seeds {
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn with_a_single_observer_a_healthy_member_is_dropped_for_another_s_fault() {
+fn with_a_single_observer_a_healthy_member_is_dropped_for_another_ones_bad_link() {
     let single = Switches { single_observer: true, ..Switches::default() };
     let found = false_drops(single, 1..40);
     assert!(found.is_some());
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn with_no_comparison_one_that_comes_late_does_not_learn_of_all() {
+fn with_no_comparison_a_late_member_does_not_learn_of_all_others() {
     let joined = |switches: Switches, seed: u64| {
         let mut fleet = settled(seed, 9, switches);
         let late = fleet.add();
--- a/crates/view/tests/fleet/wire.rs
+++ b/crates/view/tests/fleet/wire.rs
@@ -1,4 +1,4 @@
-//! Bodies that no steward sent.
+//! Malformed and extreme bodies.
 
 use proptest::prelude::*;
 use ravenspar_view::show::{Page, Shown};
@@ -7,26 +7,32 @@
 use crate::common::{address, SECOND};
 
 fn kind() -> impl Strategy<Value = Kind> {
-    (3u8..=11).prop_map(|byte| Kind::read(byte).expect("a kind"))
+    (3u8..=11).prop_map(|byte| Kind::read(byte).expect("a known kind"))
 }
 
-/// News of one record, as another steward would send it.
-fn record(name: &str, life: u64, count: u32, state: u8) -> Vec<u8> {
+/// Body with one record, as another steward would send it.
+fn record(name: &str, incarnation: u64, refutations: u32, state: u8) -> Vec<u8> {
     let mut body = vec![state, 4, 127, 0, 0, 1, 0, 9];
-    body.extend(life.to_be_bytes());
-    body.extend(count.to_be_bytes());
+    body.extend(incarnation.to_be_bytes());
+    body.extend(refutations.to_be_bytes());
     body.push(name.len() as u8);
     body.extend(name.as_bytes());
     body
 }
 
 #[test]
-fn lives_and_counts_at_their_ends_stop_nobody() {
-    for (life, count, state) in [(u64::MAX, 0, 1), (u64::MAX / 2, u32::MAX, 3), (1, u32::MAX, 1), (1, 0, 3)] {
+fn extreme_incarnations_and_refutations_do_not_stop_a_member() {
+    for (incarnation, refutations, state) in
+        [(u64::MAX, 0, 1), (u64::MAX / 2, u32::MAX, 3), (1, u32::MAX, 1), (1, 0, 3)]
+    {
         let mut view = View::new(SECOND, 1, 1, Settings::new("a", address(0), &[]));
-        view.handle(SECOND, address(1), Kind::Gossip, &record("a", life, count, state));
+        view.handle(SECOND, address(1), Kind::Gossip, &record("a", incarnation, refutations, state));
         (1..60).for_each(|second| view.handle_timeout(second * SECOND));
-        assert_eq!(view.names().map(|(name, _)| name).collect::<Vec<_>>(), ["a"], "{life} {count} {state}");
+        assert_eq!(
+            view.names().map(|(name, _)| name).collect::<Vec<_>>(),
+            ["a"],
+            "{incarnation} {refutations} {state}"
+        );
         assert!(view.incarnation() == 1 || view.incarnation() == 2 || view.incarnation() == u64::MAX / 2 + 1);
     }
 }
@@ -51,14 +57,14 @@
     }
 
     #[test]
-    fn any_page_is_read_or_passed_over(body in prop::collection::vec(any::<u8>(), 0..2 * MAX_BODY_LENGTH)) {
+    fn any_page_is_read_or_refused(body in prop::collection::vec(any::<u8>(), 0..2 * MAX_BODY_LENGTH)) {
         if let Some(page) = Page::read(&body) {
             prop_assert!(page.member.is_none_or(|member| member.name.len() <= 32));
         }
     }
 
     #[test]
-    fn any_body_is_passed_over_or_taken_in(bodies in prop::collection::vec(
+    fn any_body_is_handled_or_ignored(bodies in prop::collection::vec(
         (kind(), prop::collection::vec(any::<u8>(), 0..2 * MAX_BODY_LENGTH)), 1..20)) {
         let mut view = View::new(SECOND, 1, 1, Settings::new("a", address(0), &[address(1)]));
         for (kind, body) in bodies {
