--- a/crates/notes/src/lib.rs
+++ b/crates/notes/src/lib.rs
@@ -18,7 +18,7 @@
 /// The longest datagram, in bytes.
 pub const LENGTH: usize = 256;
 /// The longest body, in bytes.
-pub const BODY: usize = LENGTH - HEADER_LENGTH - TAG_LENGTH;
+pub const MAX_BODY_LENGTH: usize = LENGTH - HEADER_LENGTH - TAG_LENGTH;
 
 /// Kinds of hints, whose body is a number (8). Unknown kinds are ignored. Kinds from 3 on are those of `ravenspar-view`.
 pub mod kind {
@@ -30,7 +30,7 @@
 
 /// Why a datagram was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum OpenError {
     /// Its length is impossible, or its version is another.
     Form,
     /// Its MAC does not match the key.
@@ -63,7 +63,7 @@
         self.seal(kind, &number.to_be_bytes())
     }
 
-    /// Seals a body under the next counter. Receivers refuse a body that is longer than [`BODY`].
+    /// Seals a body under the next counter. Receivers refuse a body that is longer than [`MAX_BODY_LENGTH`].
     pub fn seal(&mut self, kind: u8, body: &[u8]) -> Vec<u8> {
         self.counter += 1;
         let mut datagram = Vec::with_capacity(LENGTH);
@@ -108,13 +108,13 @@
 
 /// A verified datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Opened<'a> {
+pub struct OpenedDatagram<'a> {
     pub sender: Life,
     pub kind: u8,
     pub body: &'a [u8],
 }
 
-impl Opened<'_> {
+impl OpenedDatagram<'_> {
     /// The number of a hint, or `None` if the body is not 8 bytes long.
     pub fn number(&self) -> Option<u64> {
         self.body.try_into().ok().map(u64::from_be_bytes)
@@ -146,21 +146,21 @@
     }
 
     /// Verifies a datagram and returns its content.
-    pub fn open<'a>(&mut self, datagram: &'a [u8]) -> Result<Opened<'a>, Refused> {
+    pub fn open<'a>(&mut self, datagram: &'a [u8]) -> Result<OpenedDatagram<'a>, OpenError> {
         let opened = self.verify(datagram);
         self.refused += u64::from(opened.is_err());
         opened
     }
 
-    fn verify<'a>(&mut self, datagram: &'a [u8]) -> Result<Opened<'a>, Refused> {
+    fn verify<'a>(&mut self, datagram: &'a [u8]) -> Result<OpenedDatagram<'a>, OpenError> {
         if !(HEADER_LENGTH + TAG_LENGTH..=LENGTH).contains(&datagram.len()) || datagram[0] != VERSION {
-            return Err(Refused::Form);
+            return Err(OpenError::Form);
         }
         let (signed, tag) = datagram.split_at(datagram.len() - TAG_LENGTH);
-        let mac = mac(&self.key, signed).ok_or(Refused::Forged)?;
-        mac.verify_slice(tag).map_err(|_| Refused::Forged)?;
-        let number = |at: usize| signed[at..at + 8].iter().fold(0, |sum, byte| sum << 8 | u64::from(*byte));
-        let sender = number(1);
+        let mac = mac(&self.key, signed).ok_or(OpenError::Forged)?;
+        mac.verify_slice(tag).map_err(|_| OpenError::Forged)?;
+        let read_u64 = |at: usize| signed[at..at + 8].iter().fold(0, |sum, byte| sum << 8 | u64::from(*byte));
+        let sender = read_u64(1);
         if !self.senders.contains_key(&sender) && self.senders.len() >= self.max_senders {
             let idlest = self.senders.iter().min_by_key(|(sender, window)| (window.last_active, **sender));
             let idlest = idlest.map(|(sender, _)| *sender);
@@ -169,9 +169,11 @@
         let window = self.senders.entry(sender).or_default();
         self.verified += 1;
         window.last_active = self.verified;
-        match window.accept(number(9)) {
-            true => Ok(Opened { sender, kind: signed[HEADER_LENGTH - 1], body: &signed[HEADER_LENGTH..] }),
-            false => Err(Refused::Replayed),
+        match window.accept(read_u64(9)) {
+            true => {
+                Ok(OpenedDatagram { sender, kind: signed[HEADER_LENGTH - 1], body: &signed[HEADER_LENGTH..] })
+            }
+            false => Err(OpenError::Replayed),
         }
     }
 }
@@ -183,7 +185,7 @@
 
     const KEY: &[u8] = b"a key of thirty-two bytes or more";
 
-    fn read(inbox: &mut Inbox, datagram: &[u8]) -> Result<(Life, u8, u64), Refused> {
+    fn read(inbox: &mut Inbox, datagram: &[u8]) -> Result<(Life, u8, u64), OpenError> {
         inbox.open(datagram).map(|opened| (opened.sender, opened.kind, opened.number().expect("a number")))
     }
 
@@ -197,9 +199,9 @@
         let hints: Vec<_> = (0..70).map(|number| outbox.note(kind::LOOK, number)).collect();
         assert_eq!(read(&mut inbox, &hints[1]), Ok((7, kind::LOOK, 1)));
         assert_eq!(read(&mut inbox, &hints[0]), Ok((7, kind::LOOK, 0)));
-        assert_eq!(read(&mut inbox, &hints[1]), Err(Refused::Replayed));
+        assert_eq!(read(&mut inbox, &hints[1]), Err(OpenError::Replayed));
         assert_eq!(read(&mut inbox, &hints[69]), Ok((7, kind::LOOK, 69)));
-        assert_eq!(read(&mut inbox, &hints[2]), Err(Refused::Replayed), "outside the replay window");
+        assert_eq!(read(&mut inbox, &hints[2]), Err(OpenError::Replayed), "outside the replay window");
         assert_eq!(read(&mut inbox, &hints[68]), Ok((7, kind::LOOK, 68)));
     }
 
@@ -208,21 +210,21 @@
         let mut inbox = Inbox::new(KEY, 2);
         let mut outboxes: Vec<_> = (1..4).map(|sender| Outbox::new(KEY, sender)).collect();
         let first = outboxes[0].seal(3, b"body");
-        assert_eq!(inbox.open(&first), Ok(Opened { sender: 1, kind: 3, body: b"body" }));
-        let second = outboxes[1].seal(4, &[0; BODY]);
+        assert_eq!(inbox.open(&first), Ok(OpenedDatagram { sender: 1, kind: 3, body: b"body" }));
+        let second = outboxes[1].seal(4, &[0; MAX_BODY_LENGTH]);
         assert_eq!(second.len(), LENGTH);
         assert!(inbox.open(&second).is_ok());
-        assert_eq!(inbox.open(&first), Err(Refused::Replayed));
+        assert_eq!(inbox.open(&first), Err(OpenError::Replayed));
         assert!(inbox.open(&outboxes[2].seal(3, b"")).is_ok());
         assert_eq!(
             inbox.open(&first),
-            Err(Refused::Replayed),
+            Err(OpenError::Replayed),
             "a replayed datagram counts as activity of its sender"
         );
         assert!(inbox.open(&second).is_ok(), "its sender was forgotten, so a replay is accepted");
-        assert_eq!(inbox.open(&Outbox::new(b"another", 9).seal(3, b"")), Err(Refused::Forged));
+        assert_eq!(inbox.open(&Outbox::new(b"another", 9).seal(3, b"")), Err(OpenError::Forged));
         assert_eq!(inbox.senders.len(), 2, "a forged datagram evicts no sender");
-        assert_eq!(inbox.open(&outboxes[0].seal(3, &[0; BODY + 1])), Err(Refused::Form));
+        assert_eq!(inbox.open(&outboxes[0].seal(3, &[0; MAX_BODY_LENGTH + 1])), Err(OpenError::Form));
     }
 
     proptest! {
--- a/crates/view/src/lib.rs
+++ b/crates/view/src/lib.rs
@@ -101,7 +101,7 @@
 
 /// A datagram to send: its receiver, kind and body.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Send {
+pub struct Datagram {
     pub to: SocketAddr,
     pub kind: Kind,
     pub body: Vec<u8>,
--- a/crates/view/src/show.rs
+++ b/crates/view/src/show.rs
@@ -9,7 +9,7 @@
 use crate::{Id, Incarnation, Reach, NAME};
 
 /// Suspecting observers that are listed per member.
-const MAX_ACCUSERS: usize = 4;
+const MAX_SUSPECTING_OBSERVERS: usize = 4;
 
 /// Requests the page with this index; the answer repeats the token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -59,8 +59,8 @@
     }
 
     pub fn read(mut body: &[u8]) -> Option<Ask> {
-        let ask = Ask { token: body.try_get_u32().ok()?, index: body.try_get_u16().ok()? };
-        body.is_empty().then_some(ask)
+        let request = Ask { token: body.try_get_u32().ok()?, index: body.try_get_u16().ok()? };
+        body.is_empty().then_some(request)
     }
 }
 
@@ -99,7 +99,7 @@
         body.put_u64(digest);
         body.put_u8(member.name.len() as u8);
         body.put_slice(member.name.as_bytes());
-        member.accusers.iter().take(MAX_ACCUSERS).for_each(|accuser| body.put_u64(*accuser));
+        member.accusers.iter().take(MAX_SUSPECTING_OBSERVERS).for_each(|accuser| body.put_u64(*accuser));
         body
     }
 
--- a/crates/view/src/view.rs
+++ b/crates/view/src/view.rs
@@ -14,7 +14,7 @@
 use crate::show::{Ask, Page, Shown};
 use crate::table::{Merged, Record, State, Table, Vote};
 use crate::wire::{Item, Kind, Range, SenderStatus, MAX_BODY_LENGTH, STATUS_LENGTH};
-use crate::{id, Id, Incarnation, Reach, Send, Settings, Time};
+use crate::{id, Datagram, Id, Incarnation, Reach, Settings, Time};
 
 /// Counters and queue lengths for the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -65,7 +65,7 @@
     subjects_cache: (u64, Vec<Id>),
     probes: Probes,
     gossip: GossipQueue,
-    outgoing: VecDeque<Send>,
+    outgoing: VecDeque<Datagram>,
     seq: u32,
     round: u64,
     /// When the next round begins.
@@ -180,8 +180,8 @@
     }
 
     /// Summary of the view and the entry at an index of all known names, the lost ones included.
-    pub fn page(&self, now: Time, ask: &Ask) -> Page {
-        let member = self.table.entries.iter().nth(usize::from(ask.index)).map(|(id, entry)| Shown {
+    pub fn page(&self, now: Time, request: &Ask) -> Page {
+        let member = self.table.entries.iter().nth(usize::from(request.index)).map(|(id, entry)| Shown {
             name: entry.record.name.clone(),
             life: entry.record.incarnation,
             address: entry.record.address,
@@ -196,8 +196,8 @@
             },
         });
         Page {
-            token: ask.token,
-            index: ask.index,
+            token: request.token,
+            index: request.index,
             number: self.view_number,
             digest: self.view_digest,
             settled: self.is_settled(now),
@@ -257,11 +257,11 @@
     }
 
     /// The next datagram to send.
-    pub fn poll(&mut self) -> Option<Send> {
-        let send = self.outgoing.pop_front()?;
+    pub fn poll(&mut self) -> Option<Datagram> {
+        let datagram = self.outgoing.pop_front()?;
         self.figures.sent += 1;
-        self.figures.sent_bytes += send.body.len() as u64;
-        Some(send)
+        self.figures.sent_bytes += datagram.body.len() as u64;
+        Some(datagram)
     }
 
     /// Carries out what is due.
@@ -369,8 +369,8 @@
                 true
             }
             Kind::Show => {
-                let Some(ask) = Ask::read(body) else { return false };
-                let page = self.page(now, &ask);
+                let Some(request) = Ask::read(body) else { return false };
+                let page = self.page(now, &request);
                 self.send(from, Kind::Shown, page.write());
                 true
             }
@@ -596,7 +596,7 @@
 
     fn send(&mut self, to: SocketAddr, kind: Kind, body: Vec<u8>) {
         if self.outgoing.len() < MAX_QUEUED_SENDS {
-            self.outgoing.push_back(Send { to, kind, body });
+            self.outgoing.push_back(Datagram { to, kind, body });
         } else {
             self.figures.left_out += 1;
         }
