--- a/crates/view/src/table.rs
+++ b/crates/view/src/table.rs
@@ -9,6 +9,7 @@
 /// State of a member's incarnation; the higher one wins when records of an incarnation are merged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum State {
+    /// A current member.
     In,
     /// It left by its own request.
     Left,
@@ -119,7 +120,7 @@
 /// Names in the table, the lost ones included. Beyond it the name lost for the longest is evicted.
 pub const MAX_NAMES: usize = 4_096;
 
-/// Votes kept per member: more than its observers, those of both outcomes together.
+/// Votes kept per member, of both outcomes together: more than it has observers.
 const MAX_VOTES_PER_MEMBER: usize = 16;
 
 /// Suspecting observers that it takes to drop a member.
@@ -143,6 +144,7 @@
         self.entries.get(&id)
     }
 
+    /// Returns true if the name is a current member.
     pub fn is_member(&self, id: Id) -> bool {
         self.get(id).is_some_and(|entry| entry.record.state == State::In)
     }
@@ -247,10 +249,12 @@
         subjects
     }
 
+    /// Entries of a range, the lost ones included.
     pub fn in_range(&self, range: Range) -> impl Iterator<Item = &Entry> {
         self.entries.range(range.first()..=range.last()).map(|(_, entry)| entry)
     }
 
+    /// Digest of the records of a range.
     pub fn range_digest(&self, range: Range) -> u64 {
         self.in_range(range).fold(0, |sum, entry| sum ^ entry.record.hash())
     }
--- a/crates/view/src/view/rounds.rs
+++ b/crates/view/src/view/rounds.rs
@@ -55,7 +55,7 @@
         all.map(|(id, _)| id).take(8).collect()
     }
 
-    /// Votes on whether a probed member answers, if it is suspected or a vote changes this member's earlier one.
+    /// Votes on whether a probed member answers, unless this member has voted so already or the vote would not matter.
     fn cast_vote(&mut self, now: Time, id: Id, silent: bool) {
         let Some(entry) = self.table.get(id).filter(|entry| entry.record.state == State::In) else { return };
         let (incarnation, refutations) = (entry.record.incarnation, entry.record.refutations);
@@ -117,7 +117,7 @@
         if self.rejoin_at.is_none() {
             let mut targets = self.subjects();
             let undecided = self.undecided_members();
-            // On average three members of the whole fleet probe an undecided one.
+            // Some two or three members of the whole fleet probe an undecided one.
             let probability = 3.0 / self.table.member_count.max(1) as f64;
             for id in undecided {
                 // Once a probe was missed, this member goes on until it can vote.
@@ -139,7 +139,7 @@
                 address.into_iter().for_each(|to| self.send_probe(seq, Some(next), to));
             }
         }
-        self.probe_lost_and_seeds(now);
+        self.probe_lost_and_peers(now);
         self.schedule_gossip(now);
     }
 
@@ -172,7 +172,7 @@
 
     /// Probes the address of a lost member and of a configured peer, each round while alone, else every
     /// [`REJOIN_PROBE_ROUNDS`] rounds, so that the parts of a split fleet merge again.
-    fn probe_lost_and_seeds(&mut self, now: Time) {
+    fn probe_lost_and_peers(&mut self, now: Time) {
         let alone = self.table.member_count <= 1;
         if !alone && !self.round.is_multiple_of(REJOIN_PROBE_ROUNDS) {
             return;
