--- a/crates/view/tests/fleet/main.rs
+++ b/crates/view/tests/fleet/main.rs
@@ -1,9 +1,9 @@
-//! The core in simulated time.
+//! Tests of the membership protocol in simulated time.
 
 mod common;
 mod faults;
 mod measure;
+mod pauses;
 mod settles;
-mod stands;
-mod switches;
+mod toggles;
 mod wire;
