--- a/crates/platform/src/calls.rs
+++ b/crates/platform/src/calls.rs
@@ -1,45 +1,46 @@
-//! Orders on their way to the store: one call at a time, in their order, until each is surely carried out.
+//! Queue of orders to the store: sends one call at a time, in order, until each is known to be applied.
 //!
-//! A call whose answer is lost was carried out as a whole or not at all. It is sent again before anything later; that
-//! is harmless, as every order says what is to stand and not what is to change.
+//! A call whose answer is lost was applied as a whole or not at all. It is sent again before any later one, which is
+//! harmless, as orders are idempotent: each states the resulting state, not a change.
 
-mod fates;
+mod dispositions;
 
 use std::collections::VecDeque;
 
 use ravenspar_steward::{Order, Time, SECOND};
 use serde_json::Value;
 
-use fates::{fates, Fate};
+use dispositions::{dispositions, Disposition};
 
-/// The platform's bound is 60,000 bytes of orders; some are left for the brackets.
-const MOST_BYTES: usize = 59_000;
+/// The platform accepts 60,000 bytes of orders per call; the rest is left for the envelope.
+const MAX_CALL_BYTES: usize = 59_000;
 
-/// Between two tries of a call that failed twice or more in a row: a store that is away is asked ten times a second.
-const PAUSE: Time = SECOND / 10;
+/// Delay between attempts of a call that failed twice or more in a row: a store that is down is asked ten times a
+/// second.
+const RETRY_DELAY: Time = SECOND / 10;
 
 #[derive(Clone, Debug)]
-struct Item {
+struct QueuedOrder {
     order: Order,
     text: String,
-    /// Its slice was taken away or given anew since: what it says no longer holds.
+    /// Its slice was unassigned or assigned again since, so the order no longer applies.
     dropped: bool,
-    /// The next message that bears it is one that the decisions' ledger knows of.
+    /// The next message that carries it is already counted in the decisions' ledger.
     counted: bool,
 }
 
-impl Item {
+impl QueuedOrder {
     fn is_mark(&self) -> bool {
         matches!(self.order, Order::Stamp { .. })
     }
 
-    /// No message is counted for it, and it is no mark, which each message has of its own.
+    /// Returns true if no message is counted for it yet. Marks are excluded: each message has its own.
     fn is_repeated(&self) -> bool {
         !self.counted && !self.dropped && !self.is_mark()
     }
 
-    /// It only takes away: whatever stands, nothing is served that should not be.
-    fn takes_away(&self) -> bool {
+    /// Returns true if it only takes permissions away, and so is safe whatever the current state is.
+    fn is_restrictive(&self) -> bool {
         match self.order {
             Order::DropLines { .. } | Order::Stamp { .. } => true,
             Order::Withdraw { out, .. } => out,
@@ -48,94 +49,97 @@
     }
 }
 
-fn bytes(call: &[Item]) -> usize {
+fn encoded_len(call: &[QueuedOrder]) -> usize {
     call.iter().map(|item| item.text.len() + 1).sum()
 }
 
-/// Both are for one slice. They stay in one call: the level that goes with a grant keeps a cold server from what proxies hold.
-fn belong_together(one: &Item, next: &Item) -> bool {
-    let slice = slice_of(&one.order);
-    slice.is_some() && slice == slice_of(&next.order)
+/// Returns true if both are for one slice. Such orders stay in one call: the level that goes with a grant protects a
+/// cold server from the writes of proxies that already know the grant.
+fn same_slice(first: &QueuedOrder, second: &QueuedOrder) -> bool {
+    let slice = slice_of(&first.order);
+    slice.is_some() && slice == slice_of(&second.order)
 }
 
-/// As many calls as the platform's bound asks for, in the items' order.
-fn in_calls(items: Vec<Item>) -> impl Iterator<Item = Vec<Item>> {
-    let mut calls: Vec<Vec<Item>> = Vec::new();
-    for together in items.chunk_by(belong_together) {
+/// Splits orders into as many calls as the platform's size limit requires, keeping their order.
+fn split_into_calls(items: Vec<QueuedOrder>) -> impl Iterator<Item = Vec<QueuedOrder>> {
+    let mut calls: Vec<Vec<QueuedOrder>> = Vec::new();
+    for group in items.chunk_by(same_slice) {
         match calls.last_mut() {
-            Some(call) if bytes(call) + bytes(together) <= MOST_BYTES => call.extend_from_slice(together),
-            _ => calls.push(together.to_vec()),
+            Some(call) if encoded_len(call) + encoded_len(group) <= MAX_CALL_BYTES => {
+                call.extend_from_slice(group)
+            }
+            _ => calls.push(group.to_vec()),
         }
     }
     calls.into_iter()
 }
 
-fn revoked<'a>(calls: impl Iterator<Item = &'a Vec<Item>> + 'a) -> impl Iterator<Item = usize> + 'a {
+fn revoked<'a>(calls: impl Iterator<Item = &'a Vec<QueuedOrder>> + 'a) -> impl Iterator<Item = usize> + 'a {
     let revokes = calls.flatten().filter(|item| !item.dropped);
     let revokes = revokes.filter(|item| matches!(item.order, Order::DropLines { .. }));
     revokes.filter_map(|item| slice_of(&item.order))
 }
 
-/// What is known of the call that comes first.
+/// The state of the first call in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallState {
-    /// There is none.
+    /// The queue is empty.
     Idle,
-    /// It has not been written yet.
+    /// It has not been written.
     Waiting,
-    /// It is written, and neither answered nor lost.
+    /// It was written, and was neither answered nor lost. Holds the call's id.
     InFlight(u64),
-    /// It was written, and nobody knows whether it was carried out.
+    /// An attempt failed, and it is not known whether the store applied it.
     OutcomeUnknown,
 }
 
-/// What an answer said of a call.
+/// The outcome of a call according to its answer.
 #[derive(Debug, PartialEq)]
-pub enum Settled {
-    /// These orders are carried out, and this one was refused.
-    Done(Vec<Order>, Option<Order>),
-    /// Turned away: not carried out.
-    Refused,
-    /// It can't be read: the call may have been carried out or not.
+pub enum AnswerOutcome {
+    /// These orders were applied; the second field is the order that was refused, if any.
+    Applied(Vec<Order>, Option<Order>),
+    /// The call was rejected as a whole and not applied.
+    Rejected,
+    /// The answer is unreadable: the call may or may not have been applied.
     Unreadable,
 }
 
-/// How a call that was not answered ended.
+/// The outcome of a call that got no answer.
 #[derive(Debug, PartialEq)]
-pub enum Ended {
-    /// There was none under way.
+pub enum LostCall {
+    /// No call was in flight.
     None,
-    /// It was carried out or not: it comes again.
+    /// It may or may not have been applied, and will be sent again.
     OutcomeUnknown,
-    /// It was carried out as a whole, as a proxy has answered its mark.
-    CarriedOut(CarriedOut),
+    /// It was applied as a whole, as a proxy has acknowledged its mark.
+    Applied(AppliedCall),
 }
 
-/// A call that was carried out, though its own answer never came.
+/// A call that is known to be applied although its own answer never came.
 #[derive(Debug, PartialEq)]
-pub struct CarriedOut {
+pub struct AppliedCall {
     pub orders: Vec<Order>,
-    /// The mark that it was carried out under.
+    /// The acknowledged mark under which it was applied.
     pub number: u16,
 }
 
 #[derive(Debug, Default)]
 pub struct Calls {
-    /// Calls to come, the first of which may be under way.
-    waiting: VecDeque<Vec<Item>>,
-    sent: Option<u64>,
-    next: u64,
-    /// Tries of the first call that did not settle it.
-    failed: u32,
-    again: Time,
-    /// Marks that the first call was written with, as it is.
+    /// Queued calls; the first may be in flight.
+    waiting: VecDeque<Vec<QueuedOrder>>,
+    in_flight: Option<u64>,
+    last_id: u64,
+    /// Failed attempts of the first call.
+    failed_attempts: u32,
+    retry_at: Time,
+    /// Marks that attempts of the first call ended with; its other orders were the same each time.
     marks: Vec<u16>,
-    /// One of them that a proxy has answered: the call was carried out under it.
-    proven: Option<u16>,
-    /// The call under way was written before the subscription began. Guards against a slice that was taken away and given
-    /// back in the gap: that call then counted as taken and changed nothing, so its answer proves nothing, and it is sent
-    /// again.
-    before_gap: bool,
+    /// The one of `marks` that a proxy has acknowledged, which proves that the call was applied under it.
+    confirmed_mark: Option<u16>,
+    /// The call in flight was written before the subscription began. Guards against a slice that was unassigned and
+    /// assigned again in the gap: such a call counted as accepted but changed nothing, so its answer proves nothing,
+    /// and it is sent again.
+    sent_before_gap: bool,
 }
 
 pub fn slice_of(order: &Order) -> Option<usize> {
@@ -147,69 +151,71 @@
 }
 
 impl Calls {
-    /// One reply of the decisions; `text` is each order as it is written. Where other calls wait it goes with them, and
-    /// counts when they do.
+    /// Adds the orders of one decision, each with its encoded text. If other calls are queued, these orders are sent
+    /// and counted together with those.
     pub fn push(&mut self, orders: impl Iterator<Item = (Order, String)>) {
         let counted = self.settled();
-        let items = orders.map(|(order, text)| Item { order, text, dropped: false, counted });
-        let mut calls = in_calls(items.collect());
+        let items = orders.map(|(order, text)| QueuedOrder { order, text, dropped: false, counted });
+        let mut calls = split_into_calls(items.collect());
         self.waiting.extend(calls.next());
-        // The ledger knows of one message: each further one counts, under a mark of its own, when it is written.
+        // The ledger has counted one message. Each further one is counted, with a mark of its own, when it is
+        // written.
         for mut call in calls {
             call.iter_mut().for_each(|item| item.counted = false);
             self.waiting.push_back(call);
         }
     }
 
-    /// All is carried out that was ever ordered.
+    /// Returns true if all orders are known to be applied.
     pub fn settled(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// What is known of the first call.
+    /// Returns the state of the first call.
     pub fn state(&self) -> CallState {
-        match self.sent {
+        match self.in_flight {
             Some(id) => CallState::InFlight(id),
             None if self.waiting.is_empty() => CallState::Idle,
-            None if self.failed > 0 => CallState::OutcomeUnknown,
+            None if self.failed_attempts > 0 => CallState::OutcomeUnknown,
             None => CallState::Waiting,
         }
     }
 
-    /// A subscription begins: what was written before it may have met the slices in other hands.
+    /// Records that a subscription has begun: calls written before it may have been applied while their slices were
+    /// assigned to another steward.
     pub fn subscription_began(&mut self) {
-        self.before_gap = self.sent.is_some();
+        self.sent_before_gap = self.in_flight.is_some();
         self.forget_marks();
     }
 
-    /// Orders that are not known to be carried out.
+    /// Returns the number of orders that are not known to be applied.
     pub fn unsettled(&self) -> usize {
         self.waiting.iter().map(Vec::len).sum()
     }
 
-    /// Makes the next call ready to be written, where none is under way. Returns whether there is one. While the store's
-    /// news are not live only what takes away is written, see [`Calls::restrict`].
+    /// Prepares the next call if none is in flight. Returns true if there is one to write. While the subscription is
+    /// not live, only restrictive orders are written, see [`Calls::restrict`].
     pub fn prepare(&mut self, is_live: bool) -> bool {
-        if self.sent.is_some() {
+        if self.in_flight.is_some() {
             return false;
         }
         self.waiting.iter_mut().for_each(|call| call.retain(|item| !item.dropped));
         self.waiting.retain(|call| !call.is_empty());
-        // What takes away goes first, too, where it came to wait behind a call that has to be sent again.
-        let behind = self.state() == CallState::OutcomeUnknown && self.waiting.len() > 1;
-        let takes_away = (!is_live || behind) && self.restrict();
-        if is_live && !takes_away {
+        // Restrictive orders also go first if they are queued behind a call that has to be sent again.
+        let restrictive_behind = self.state() == CallState::OutcomeUnknown && self.waiting.len() > 1;
+        let is_restrictive = (!is_live || restrictive_behind) && self.restrict();
+        if is_live && !is_restrictive {
             self.merge();
         }
-        takes_away || is_live && !self.waiting.is_empty()
+        is_restrictive || is_live && !self.waiting.is_empty()
     }
 
-    /// Makes one call of the first and those after it, as far as they fit: what is owed by a later call does not wait for
-    /// an earlier one to be settled. The last mark stands for all before it.
+    /// Merges the first call with those after it, as far as they fit, so that the orders of later calls don't wait
+    /// for it to be settled. The last mark covers all before it.
     fn merge(&mut self) {
         while let Some(mut call) = self.waiting.pop_front() {
-            let fits = |next: &Vec<Item>| bytes(&call) + bytes(next) <= MOST_BYTES;
-            let ends_in_mark = |next: &Vec<Item>| next.last().is_some_and(Item::is_mark);
+            let fits = |next: &Vec<QueuedOrder>| encoded_len(&call) + encoded_len(next) <= MAX_CALL_BYTES;
+            let ends_in_mark = |next: &Vec<QueuedOrder>| next.last().is_some_and(QueuedOrder::is_mark);
             let Some(next) = self.waiting.pop_front_if(|next| fits(next) && ends_in_mark(next)) else {
                 self.waiting.push_front(call);
                 return;
@@ -221,65 +227,74 @@
         }
     }
 
-    /// Puts what only takes away before all else, under the last mark, and leaves out what a later revoke undoes. The rest,
-    /// grants above all, is held back until what stands is known: another steward may have had the slice. Returns whether
-    /// there is anything that only takes away.
+    /// Moves restrictive orders to the front, under the last mark, and removes orders that a later revoke undoes. The
+    /// rest, above all grants, is held back until the current state is known: the slice may have been assigned to
+    /// another steward. Returns true if there are restrictive orders.
     fn restrict(&mut self) -> bool {
-        let all = self.waiting.iter().flatten();
-        if !fates(all.clone()).iter().zip(all).any(|(fate, item)| *fate == Fate::Written && !item.is_mark()) {
+        let orders = self.waiting.iter().flatten();
+        if !dispositions(orders.clone())
+            .iter()
+            .zip(orders)
+            .any(|(what, item)| *what == Disposition::Send && !item.is_mark())
+        {
             return false;
         }
         let several = self.waiting.len() > 1;
-        let all: Vec<Item> = self.waiting.drain(..).flatten().collect();
-        let fates = fates(all.iter());
-        if several || fates.iter().any(|fate| *fate != Fate::Written) {
+        let orders: Vec<QueuedOrder> = self.waiting.drain(..).flatten().collect();
+        let dispositions = dispositions(orders.iter());
+        if several || dispositions.iter().any(|what| *what != Disposition::Send) {
             self.forget_marks();
         }
-        let last_mark = all.iter().rposition(Item::is_mark);
+        let last_mark = orders.iter().rposition(QueuedOrder::is_mark);
         let (mut written, mut held_back) = (Vec::new(), Vec::new());
-        for (n, (mut item, fate)) in all.into_iter().zip(fates).enumerate() {
-            match fate {
-                Fate::Written if !item.is_mark() || Some(n) == last_mark => written.push(item),
-                Fate::HeldBack => {
+        for (n, (mut item, disposition)) in orders.into_iter().zip(dispositions).enumerate() {
+            match disposition {
+                Disposition::Send if !item.is_mark() || Some(n) == last_mark => written.push(item),
+                Disposition::HoldBack => {
                     item.counted = false;
                     held_back.push(item);
                 }
-                Fate::Written | Fate::Undone => {}
+                Disposition::Send | Disposition::Superseded => {}
             }
         }
-        self.waiting = in_calls(written).chain(in_calls(held_back)).collect();
+        self.waiting = split_into_calls(written).chain(split_into_calls(held_back)).collect();
         true
     }
 
-    /// The line to write next, if it is time.
+    /// Returns the encoded call to write, if there is one and its retry delay is over.
     pub fn next(&mut self, now: Time) -> Option<String> {
-        if self.sent.is_some() || now < self.again {
+        if self.in_flight.is_some() || now < self.retry_at {
             return None;
         }
         self.waiting.iter_mut().for_each(|call| call.retain(|item| !item.dropped));
         self.waiting.retain(|call| !call.is_empty());
         let call = self.waiting.front()?;
-        self.next += 1;
-        self.sent = Some(self.next);
+        self.last_id += 1;
+        self.in_flight = Some(self.last_id);
         if let Some(Order::Stamp { number }) = call.last().map(|item| &item.order) {
             self.marks.push(*number);
         }
         let changes: Vec<&str> = call.iter().map(|item| item.text.as_str()).collect();
-        let (id, changes) = (self.next, changes.join(","));
+        let (id, changes) = (self.last_id, changes.join(","));
         Some(format!(r#"{{"jsonrpc":"2.0","id":{id},"method":"commit","params":{{"changes":[{changes}]}}}}"#))
     }
 
-    /// When there may be a call to write.
+    /// Returns the earliest time at which there may be a call to write.
     pub fn next_timeout(&self, is_live: bool) -> Option<Time> {
-        let all = || self.waiting.iter().flatten();
-        let takes_away =
-            || fates(all()).iter().zip(all()).any(|(fate, item)| *fate == Fate::Written && !item.is_mark());
-        let any = self.sent.is_none() && !self.waiting.is_empty() && (is_live || takes_away());
-        any.then_some(self.again)
+        let orders = || self.waiting.iter().flatten();
+        let is_restrictive = || {
+            dispositions(orders())
+                .iter()
+                .zip(orders())
+                .any(|(what, item)| *what == Disposition::Send && !item.is_mark())
+        };
+        let is_pending =
+            self.in_flight.is_none() && !self.waiting.is_empty() && (is_live || is_restrictive());
+        is_pending.then_some(self.retry_at)
     }
 
-    /// Orders of the next call that no message is counted for, with the mark that they are to end with; 0 where there are
-    /// none.
+    /// Returns the number of orders in the next call that no message is counted for, plus one for the closing mark; 0
+    /// if all are counted.
     pub fn uncounted(&self) -> usize {
         let first = self.waiting.front().into_iter().flatten();
         match first.filter(|item| !item.counted && !item.dropped).count() {
@@ -288,136 +303,138 @@
         }
     }
 
-    /// A message with so many of those is counted, which ends with this mark: the next call has no more.
-    pub fn count(&mut self, most: usize, mark: (Order, String)) {
+    /// Records that a message with at most `max_orders` of those orders, closing mark included, is counted. The orders
+    /// beyond that move to a call of their own.
+    pub fn count(&mut self, max_orders: usize, mark: (Order, String)) {
         let Some(call) = self.waiting.front_mut() else { return };
-        let mut left = most.saturating_sub(1);
+        let mut remaining = max_orders.saturating_sub(1);
         let mut keep = call.len();
         for (n, item) in call.iter_mut().enumerate().filter(|(_, item)| item.is_repeated()) {
-            if left == 0 {
+            if remaining == 0 {
                 keep = n;
                 break;
             }
-            (item.counted, left) = (true, left - 1);
+            (item.counted, remaining) = (true, remaining - 1);
         }
-        while keep > 0 && keep < call.len() && belong_together(&call[keep - 1], &call[keep]) {
+        while keep > 0 && keep < call.len() && same_slice(&call[keep - 1], &call[keep]) {
             keep -= 1;
         }
         let mut rest = call.split_off(keep);
         rest.iter_mut().for_each(|item| item.counted = false);
         call.retain(|item| !item.is_mark());
-        call.push(Item { order: mark.0, text: mark.1, dropped: false, counted: true });
+        call.push(QueuedOrder { order: mark.0, text: mark.1, dropped: false, counted: true });
         if !rest.is_empty() {
             self.waiting.insert(1, rest);
             self.forget_marks();
         }
     }
 
-    /// The first call is no longer what those marks ended.
+    /// Forgets the marks of earlier attempts, as the first call now has other orders.
     fn forget_marks(&mut self) {
-        self.proven = None;
+        self.confirmed_mark = None;
         self.marks.clear();
     }
 
-    /// The slices that the first call revokes.
+    /// Returns the slices that the first call revokes.
     pub fn revoked_first(&self) -> impl Iterator<Item = usize> + '_ {
         revoked(self.waiting.iter().take(1))
     }
 
-    /// The slices that later calls revoke.
+    /// Returns the slices that later calls revoke.
     pub fn revoked_later(&self) -> impl Iterator<Item = usize> + '_ {
         revoked(self.waiting.iter().skip(1))
     }
 
-    /// The orders of the first call.
+    /// Returns the orders of the first call.
     pub fn first(&self) -> impl Iterator<Item = &Order> + '_ {
         self.waiting.front().into_iter().flatten().map(|item| &item.order)
     }
 
-    /// The next call has to wait.
-    pub fn wait(&mut self, now: Time) {
-        self.again = now + PAUSE;
+    /// Delays the next call.
+    pub fn delay_next(&mut self, now: Time) {
+        self.retry_at = now + RETRY_DELAY;
     }
 
-    /// Nothing is known of the call under way; `written` says whether the store may have it.
-    pub fn lost(&mut self, now: Time, written: bool) -> Ended {
-        if self.sent.take().is_none() {
-            return Ended::None;
+    /// Records that the call in flight got no answer; `written` says whether the store may have received it.
+    pub fn lost(&mut self, now: Time, written: bool) -> LostCall {
+        if self.in_flight.take().is_none() {
+            return LostCall::None;
         }
-        self.before_gap = false;
-        if let Some(number) = self.proven {
-            return Ended::CarriedOut(CarriedOut { orders: self.settle_first(), number });
+        self.sent_before_gap = false;
+        if let Some(number) = self.confirmed_mark {
+            return LostCall::Applied(AppliedCall { orders: self.settle_first(), number });
         }
-        self.failed += 1;
-        self.again = if self.failed > 1 { now + PAUSE } else { now };
+        self.failed_attempts += 1;
+        self.retry_at = if self.failed_attempts > 1 { now + RETRY_DELAY } else { now };
         if written {
-            self.count_anew();
+            self.mark_uncounted();
         }
-        Ended::OutcomeUnknown
+        LostCall::OutcomeUnknown
     }
 
-    /// What is left of the first call is a message more than the ledger knows of.
-    fn count_anew(&mut self) {
+    /// Marks the rest of the first call as uncounted: sending it takes one more message than the ledger knows of.
+    fn mark_uncounted(&mut self) {
         self.waiting.front_mut().into_iter().flatten().for_each(|item| item.counted = false);
     }
 
-    /// A proxy has answered a mark, so whatever bore it was carried out as a whole. Returns the first call where it is
-    /// settled by that.
-    pub fn mark_answered(&mut self, number: u16) -> Option<CarriedOut> {
-        if self.proven.is_none() && self.marks.contains(&number) {
-            self.proven = Some(number);
+    /// Records that a proxy has acknowledged a mark, which proves that the call that ended with it was applied as a
+    /// whole. Returns the first call if that settles it.
+    pub fn mark_acknowledged(&mut self, number: u16) -> Option<AppliedCall> {
+        if self.confirmed_mark.is_none() && self.marks.contains(&number) {
+            self.confirmed_mark = Some(number);
         }
-        let number = self.proven.filter(|_| self.sent.is_none())?;
-        Some(CarriedOut { orders: self.settle_first(), number })
+        let number = self.confirmed_mark.filter(|_| self.in_flight.is_none())?;
+        Some(AppliedCall { orders: self.settle_first(), number })
     }
 
-    /// The first call was carried out.
+    /// Removes the first call, which was applied, and returns its orders.
     fn settle_first(&mut self) -> Vec<Order> {
-        self.failed = 0;
+        self.failed_attempts = 0;
         self.forget_marks();
         let call = self.waiting.pop_front().unwrap_or_default();
         call.into_iter().filter(|item| !item.dropped).map(|item| item.order).collect()
     }
 
-    pub fn answered(&mut self, now: Time, line: &[u8]) -> Settled {
+    pub fn answered(&mut self, now: Time, line: &[u8]) -> AnswerOutcome {
         let answer: Value = serde_json::from_slice(line).unwrap_or_default();
-        let (Some(id), Some(call)) = (self.sent, self.waiting.front_mut()) else {
-            return Settled::Unreadable;
+        let (Some(id), Some(call)) = (self.in_flight, self.waiting.front_mut()) else {
+            return AnswerOutcome::Unreadable;
         };
-        if answer["id"].as_u64() != Some(id) || self.before_gap {
-            return Settled::Unreadable;
+        if answer["id"].as_u64() != Some(id) || self.sent_before_gap {
+            return AnswerOutcome::Unreadable;
         }
         if answer["error"].is_object() && answer["result"].is_null() {
-            self.sent = None;
-            self.failed = self.failed.max(1) + 1;
-            self.again = now + PAUSE;
-            return Settled::Refused;
+            self.in_flight = None;
+            self.failed_attempts = self.failed_attempts.max(1) + 1;
+            self.retry_at = now + RETRY_DELAY;
+            return AnswerOutcome::Rejected;
         }
-        let taken = answer["result"]["ok_count"].as_u64().filter(|&taken| taken <= call.len() as u64);
-        let Some(taken) = taken else { return Settled::Unreadable };
-        (self.sent, self.failed) = (None, 0);
-        self.proven = None;
+        let accepted =
+            answer["result"]["ok_count"].as_u64().filter(|&accepted| accepted <= call.len() as u64);
+        let Some(accepted) = accepted else { return AnswerOutcome::Unreadable };
+        (self.in_flight, self.failed_attempts) = (None, 0);
+        self.confirmed_mark = None;
         self.marks.clear();
-        let done = call.drain(..taken as usize).filter(|item| !item.dropped).map(|item| item.order);
+        let done = call.drain(..accepted as usize).filter(|item| !item.dropped).map(|item| item.order);
         let done = done.collect();
-        // It stopped at the next one: that is left out, and the rest follows.
+        // The store stopped at the next order: drop that one and send the rest.
         let refused = (!call.is_empty()).then(|| call.remove(0).order);
         if call.is_empty() {
             self.waiting.pop_front();
         } else {
-            self.count_anew();
+            self.mark_uncounted();
         }
-        Settled::Done(done, refused)
+        AnswerOutcome::Applied(done, refused)
     }
 
-    /// What was ordered for a slice no longer holds.
+    /// Drops all orders for a slice.
     pub fn drop_slice(&mut self, slice: usize) {
         let items = self.waiting.iter_mut().flatten();
         items.filter(|item| slice_of(&item.order) == Some(slice)).for_each(|item| item.dropped = true);
     }
 
-    /// Orders that still hold and are not known to be carried out. Those of a slice that was taken away may stand as well,
-    /// but then the slice is otherwise than the decisions know, and starts over.
+    /// Returns the orders that are still valid and not known to be applied. Dropped orders may be applied as well,
+    /// but then the slice differs from its known state and is restarted.
     pub fn pending(&self) -> impl Iterator<Item = &Order> {
         self.waiting.iter().flatten().filter(|item| !item.dropped).map(|item| &item.order)
     }
--- a/crates/platform/src/calls/tests.rs
+++ b/crates/platform/src/calls/tests.rs
@@ -31,13 +31,13 @@
     calls.push([clear(3)].into_iter());
     assert_eq!(named(&calls.next(0).expect("the first")), [1, 2, 905]);
     assert_eq!(calls.next(0), None, "one at a time");
-    assert_eq!(calls.lost(10, true), Ended::OutcomeUnknown);
+    assert_eq!(calls.lost(10, true), LostCall::OutcomeUnknown);
     assert_eq!(named(&calls.next(10).expect("at once")), [1, 2, 905]);
-    assert_eq!(calls.lost(20, true), Ended::OutcomeUnknown);
+    assert_eq!(calls.lost(20, true), LostCall::OutcomeUnknown);
     assert_eq!(calls.next(20), None, "then less often");
-    assert_eq!(named(&calls.next(20 + PAUSE).expect("later")), [1, 2, 905]);
+    assert_eq!(named(&calls.next(20 + RETRY_DELAY).expect("later")), [1, 2, 905]);
     assert!(
-        matches!(calls.answered(1200, answer(3, 3).as_bytes()), Settled::Done(done, None) if done.len() == 3)
+        matches!(calls.answered(1200, answer(3, 3).as_bytes()), AnswerOutcome::Applied(done, None) if done.len() == 3)
     );
     assert_eq!(named(&calls.next(1200).expect("the next")), [3]);
 }
@@ -47,12 +47,12 @@
     let mut calls = calls(&[1, 2, 3]);
     calls.next(0);
     let settled = calls.answered(5, answer(1, 1).as_bytes());
-    let expected = Settled::Done(vec![clear(1).0], Some(clear(2).0));
+    let expected = AnswerOutcome::Applied(vec![clear(1).0], Some(clear(2).0));
     assert_eq!(settled, expected);
     assert_eq!(named(&calls.next(5).expect("the rest")), [3, 905]);
     assert_eq!(
         calls.answered(9, answer(2, 2).as_bytes()),
-        Settled::Done(vec![clear(3).0, stamp(905).0], None)
+        AnswerOutcome::Applied(vec![clear(3).0, stamp(905).0], None)
     );
     assert!(calls.settled());
 }
@@ -71,7 +71,7 @@
         r#"{"id":1,"result":{"ok_count":"3"}}"#,
         r#"{"id":2,"result":{"ok_count":3}}"#,
     ] {
-        assert_eq!(calls.answered(1, line.as_bytes()), Settled::Unreadable, "{line}");
+        assert_eq!(calls.answered(1, line.as_bytes()), AnswerOutcome::Unreadable, "{line}");
     }
     assert_eq!(calls.unsettled(), 3);
 }
@@ -81,9 +81,9 @@
     let mut calls = calls(&[1]);
     calls.next(0);
     let refused = br#"{"jsonrpc":"2.0","id":1,"error":{"code":-32000,"message":"Throttling"}}"#;
-    assert_eq!(calls.answered(5, refused), Settled::Refused);
-    assert_eq!((calls.next(5), calls.next_timeout(true)), (None, Some(5 + PAUSE)));
-    assert_eq!(named(&calls.next(5 + PAUSE).expect("once more")), [1, 905]);
+    assert_eq!(calls.answered(5, refused), AnswerOutcome::Rejected);
+    assert_eq!((calls.next(5), calls.next_timeout(true)), (None, Some(5 + RETRY_DELAY)));
+    assert_eq!(named(&calls.next(5 + RETRY_DELAY).expect("once more")), [1, 905]);
 }
 
 #[test]
@@ -100,7 +100,7 @@
     calls.lost(1, true);
     assert_eq!(named(&calls.next(1).expect("again")), [2, 905]);
     assert!(
-        matches!(calls.answered(2, answer(2, 2).as_bytes()), Settled::Done(done, None) if done.len() == 2)
+        matches!(calls.answered(2, answer(2, 2).as_bytes()), AnswerOutcome::Applied(done, None) if done.len() == 2)
     );
 }
 
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,10 +1,10 @@
-//! The file that tells a steward all it has to know.
+//! The configuration file of a steward on the platform.
 
 use std::net::SocketAddr;
 
 use serde_json::Value;
 
-/// What may change while the steward runs.
+/// Addresses that may change while the steward runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Addresses {
     pub discovery: SocketAddr,
@@ -17,11 +17,11 @@
     pub listen: SocketAddr,
     pub addresses: Addresses,
     pub seed: u64,
-    /// Descriptors that the process may hold.
+    /// The number of file descriptors that the process may open.
     pub sockets: usize,
-    /// The list as last held, in discovery's form.
+    /// The last known list of hosts, in discovery's format.
     pub known: Value,
-    /// As they are in the simulator's first message, but nested.
+    /// The same settings as in the simulator's first message, but nested.
     pub settings: Value,
 }
 
@@ -38,7 +38,7 @@
 }
 
 impl Config {
-    /// Fails with what was expected where.
+    /// Parses the configuration. The error names the field and what was expected.
     pub fn read(bytes: &[u8]) -> Result<Config, String> {
         let mut config: Value =
             serde_json::from_slice(bytes).map_err(|e| format!("expected a JSON object: {e}"))?;
@@ -67,7 +67,7 @@
         })
     }
 
-    /// The addresses alone, of a file that was replaced while the steward runs.
+    /// Parses only the addresses, from a file that was replaced while the steward runs.
     pub fn read_addresses(bytes: &[u8]) -> Result<Addresses, String> {
         let config: Value =
             serde_json::from_slice(bytes).map_err(|e| format!("expected a JSON object: {e}"))?;
--- a/crates/platform/src/drains.rs
+++ b/crates/platform/src/drains.rs
@@ -1,30 +1,30 @@
-//! Revokes that are owed: slices whose server drains, is gone or has restarted, and since when.
+//! Pending revokes of slices whose server is draining, gone or restarted, and how long each has been pending.
 
 use ravenspar_steward::Time;
 
-/// How many revokes are owed, and how old the oldest of them is.
+/// The number of pending revokes, and the age of the oldest.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Owed {
+pub struct PendingRevokes {
     pub slices: usize,
     pub oldest: Time,
 }
 
-/// Since when each slice's revoke has been owed.
+/// Tracks since when each slice's revoke has been pending.
 #[derive(Debug)]
 pub struct Drains {
     since: Vec<Option<Time>>,
-    /// Past this age an operator is warned.
+    /// Age of a pending revoke at which operators are warned.
     warn_after: Time,
     warned: bool,
 }
 
 impl Drains {
-    /// `grace` is the longest that a drain may take.
+    /// `grace` is the time allowed for a drain.
     pub fn new(slices: usize, grace: Time) -> Drains {
         Drains { since: vec![None; slices], warn_after: grace / 2, warned: false }
     }
 
-    /// These slices' revokes are owed now, and no others.
+    /// Records that revokes are pending for exactly these slices.
     pub fn observe(&mut self, now: Time, owed: impl Iterator<Item = usize>) {
         let mut since = vec![None; self.since.len()];
         for slice in owed {
@@ -34,13 +34,14 @@
         self.warned &= self.owed(now).slices > 0;
     }
 
-    pub fn owed(&self, now: Time) -> Owed {
+    pub fn owed(&self, now: Time) -> PendingRevokes {
         let owed = || self.since.iter().flatten();
-        Owed { slices: owed().count(), oldest: owed().min().map_or(0, |since| now - since) }
+        PendingRevokes { slices: owed().count(), oldest: owed().min().map_or(0, |since| now - since) }
     }
 
-    /// What is owed, once for each time that something is owed for half of its grace.
-    pub fn overdue(&mut self, now: Time) -> Option<Owed> {
+    /// Returns the pending revokes once the oldest is older than half of the grace; then not again until none is
+    /// pending.
+    pub fn overdue(&mut self, now: Time) -> Option<PendingRevokes> {
         let owed = self.owed(now);
         let overdue = self.warn_after > 0 && owed.oldest >= self.warn_after && !self.warned;
         self.warned |= overdue;
--- a/crates/platform/src/fields.rs
+++ b/crates/platform/src/fields.rs
@@ -1,11 +1,11 @@
-//! Reading the fields of a message that is already JSON.
+//! Typed access to the fields of a parsed JSON message.
 
 use std::fmt;
 
 use ravenspar_steward::Time;
 use serde_json::Value;
 
-/// Why a message can't be used: the field, and what was expected of it.
+/// The field that makes a message unusable, and what was expected of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fault {
     pub field: &'static str,
@@ -18,53 +18,53 @@
     }
 }
 
-pub fn fault<T>(field: &'static str, expected: &'static str) -> Result<T, Fault> {
+pub fn invalid<T>(field: &'static str, expected: &'static str) -> Result<T, Fault> {
     Err(Fault { field, expected })
 }
 
-/// No count or time of one report comes near it: some hundred days in milliseconds.
-const MOST: f64 = 1e10;
+/// Upper bound of counts and times in a report. As milliseconds it is more than a hundred days.
+const MAX_NUMBER: f64 = 1e10;
 
-pub fn text<'a>(of: &'a Value, field: &'static str) -> Result<&'a str, Fault> {
-    of[field].as_str().ok_or(Fault { field, expected: "a text" })
+pub fn text<'a>(message: &'a Value, field: &'static str) -> Result<&'a str, Fault> {
+    message[field].as_str().ok_or(Fault { field, expected: "a text" })
 }
 
-/// A number from 0 on.
-pub fn number(of: &Value, field: &'static str) -> Result<f64, Fault> {
-    match of[field].as_f64() {
-        Some(number) if (0.0..MOST).contains(&number) => Ok(number),
-        _ => fault(field, "a number from 0 on"),
+/// Reads a number from 0 up to [`MAX_NUMBER`].
+pub fn number(message: &Value, field: &'static str) -> Result<f64, Fault> {
+    match message[field].as_f64() {
+        Some(number) if (0.0..MAX_NUMBER).contains(&number) => Ok(number),
+        _ => invalid(field, "a number from 0 on"),
     }
 }
 
-/// A whole number below `end`.
-pub fn whole(of: &Value, field: &'static str, end: usize) -> Result<usize, Fault> {
-    match of[field].as_u64() {
+/// Reads an integer below `end`.
+pub fn integer(message: &Value, field: &'static str, end: usize) -> Result<usize, Fault> {
+    match message[field].as_u64() {
         Some(number) if number < end as u64 => Ok(number as usize),
-        _ => fault(field, "a whole number within its range"),
+        _ => invalid(field, "a whole number within its range"),
     }
 }
 
-pub fn flag(of: &Value, field: &'static str) -> Result<bool, Fault> {
-    match &of[field] {
+pub fn flag(message: &Value, field: &'static str) -> Result<bool, Fault> {
+    match &message[field] {
         Value::Bool(flag) => Ok(*flag),
         value if value.as_u64().is_some_and(|number| number <= 1) => Ok(value.as_u64() == Some(1)),
-        _ => fault(field, "true or false"),
+        _ => invalid(field, "true or false"),
     }
 }
 
-/// Milliseconds as a [`Time`].
-pub fn time(of: &Value, field: &'static str) -> Result<Time, Fault> {
-    number(of, field).map(|ms| (ms * 10.0).round() as Time)
+/// Reads a duration in milliseconds as a [`Time`].
+pub fn duration(message: &Value, field: &'static str) -> Result<Time, Fault> {
+    number(message, field).map(|ms| (ms * 10.0).round() as Time)
 }
 
-/// Unix time in milliseconds as a [`Time`]; 0 means long ago.
-pub fn moment(of: &Value, field: &'static str) -> Result<Time, Fault> {
+/// Reads a Unix time in milliseconds as a [`Time`]; 0 means long ago.
+pub fn unix_time(message: &Value, field: &'static str) -> Result<Time, Fault> {
     const YEAR_3000: u64 = 32_503_680_000_000;
-    let value = &of[field];
+    let value = &message[field];
     let ms = value.as_u64().or_else(|| value.as_f64().filter(|ms| *ms >= 0.0).map(|ms| ms as u64));
     match ms {
         Some(ms) if ms < YEAR_3000 => Ok(ms as Time * 10),
-        _ => fault(field, "Unix time in milliseconds"),
+        _ => invalid(field, "Unix time in milliseconds"),
     }
 }
--- a/crates/platform/src/frames.rs
+++ b/crates/platform/src/frames.rs
@@ -1,15 +1,15 @@
-//! What peers send to the steward's own address: frames of one JSON object each, a length of four bytes before it.
+//! Frames that peers send to the steward's own address: one JSON object each, prefixed by its length in four bytes.
 
 use serde_json::Value;
 use tokio_util::codec::LengthDelimitedCodec;
 
 use crate::fields::{self, Fault};
 
-/// The longest frame of a peer that has joined.
+/// The longest frame accepted from a peer that has joined.
 pub const MOST_FRAME: usize = 1 << 20;
 
-/// The longest frame of one that has not: room for a PING or a SOURCE with a long name. Guards memory against
-/// unidentified peers that send half of something long, by the hundred.
+/// The longest frame accepted from a peer that has not joined: enough for a PING, or a SOURCE with a long name.
+/// Limits the memory that hundreds of unidentified peers can hold with half-sent frames.
 pub const MOST_GREETING: usize = 1_024;
 
 pub const PONG: &[u8] = br#"{"msg":"PONG"}"#;
@@ -19,21 +19,21 @@
     LengthDelimitedCodec::builder().little_endian().length_field_length(4).max_frame_length(most).new_codec()
 }
 
-/// The message of one frame.
+/// A decoded frame.
 #[derive(Debug, PartialEq)]
 pub enum Message {
     Ping,
-    /// The peer is the collector of the zone with this place among the settings' zones.
+    /// The peer is the collector of a zone, given by its index in the settings' list of zones.
     Source(usize),
-    /// Something for the session, of a peer that has joined.
+    /// A report for the session, from a peer that has joined.
     Report(Value),
 }
 
-/// Fails where the connection is of no further use.
+/// Decodes one frame. After an error the connection must be closed.
 pub fn decode(frame: &[u8], joined: bool, zones: &[String]) -> Result<Message, Fault> {
     let message: Value = serde_json::from_slice(frame).unwrap_or_default();
     if !message.is_object() {
-        return fields::fault("msg", "a JSON object");
+        return fields::invalid("msg", "a JSON object");
     }
     match message["msg"].as_str() {
         Some("PING") => Ok(Message::Ping),
@@ -43,7 +43,7 @@
             let zone = zones.iter().position(|zone| zone == site);
             zone.map(Message::Source).ok_or(Fault { field: "site", expected: "a zone of the settings" })
         }
-        _ => fields::fault("msg", "PING or SOURCE before all else"),
+        _ => fields::invalid("msg", "PING or SOURCE before all else"),
     }
 }
 
--- a/crates/platform/src/hold.rs
+++ b/crates/platform/src/hold.rs
@@ -1,22 +1,23 @@
-//! Why and for how long decisions stand still, for the log.
+//! Tracks why and for how long decisions are on hold, for the log.
 
 use ravenspar_steward::Time;
 
-/// What decisions wait for.
+/// What decisions are waiting for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Hold {
-    /// The subscription to the store's news is lost, and there is no other yet.
+    /// The subscription to the store's notifications is lost and not yet replaced.
     SubscriptionLost,
-    /// A subscription is telling what stands.
+    /// The snapshot of a new subscription is being received.
     Snapshot,
-    /// A call's outcome is not known.
+    /// A call is not settled.
     Call,
-    /// Nothing has been heard since the last call was answered.
+    /// No notification has been received since the last call was answered, or for
+    /// [`crate::SILENCE`].
     NothingHeard,
 }
 
 impl Hold {
-    /// The reason as the log has it.
+    /// The reason as it appears in the log.
     pub fn name(self) -> &'static str {
         match self {
             Hold::SubscriptionLost => "subscription lost",
@@ -27,14 +28,14 @@
     }
 }
 
-/// A time in which no full decision was taken, and what it ended up waiting for.
+/// A period without full decisions, and what they are waiting for now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Held {
     pub since: Time,
     pub why: Hold,
 }
 
-/// Follows the times in which decisions stand still.
+/// Measures the periods in which decisions are on hold.
 #[derive(Debug, Default)]
 pub struct HoldClock {
     current: Option<Held>,
@@ -42,7 +43,7 @@
 }
 
 impl HoldClock {
-    /// Decisions stand still for this reason at this time, or do not.
+    /// Records whether decisions are on hold at this time, and why.
     pub fn observe(&mut self, now: Time, why: Option<Hold>) {
         if let Some(held) = self.current {
             let span = now - held.since;
@@ -53,12 +54,12 @@
         self.current = why.map(|why| Held { since: self.current.map_or(now, |held| held.since), why });
     }
 
-    /// Since when they stand still now, if they do.
+    /// Returns the current hold, if there is one.
     pub fn current(&self) -> Option<Held> {
         self.current
     }
 
-    /// The longest time that they stood still since this was last asked.
+    /// Returns the longest hold since the last call of this method.
     pub fn take_longest(&mut self) -> Option<(Time, Hold)> {
         self.longest.take()
     }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,5 +1,6 @@
-//! The platform front without its sockets: codecs, and the [`Session`] that stands between the platform's messages and
-//! the decisions. No I/O and no clock; times are handed in. `docs/design/platform.md` has the reasoning.
+//! The platform front end without its sockets: codecs for the platform's messages, and the [`Session`] that
+//! translates between them and the steward's decisions. It does no I/O and reads no clock; callers pass in the time.
+//! `docs/design/platform.md` explains the design.
 
 mod calls;
 mod config;
@@ -15,7 +16,7 @@
 mod subscription;
 
 pub use config::{Addresses, Config};
-pub use drains::Owed;
+pub use drains::PendingRevokes;
 pub use fields::Fault;
 pub use frames::{codec, decode, Message, MOST_FRAME, MOST_GREETING, NACK, PONG};
 pub use hold::{Held, Hold};
--- a/crates/platform/src/servers.rs
+++ b/crates/platform/src/servers.rs
@@ -1,4 +1,4 @@
-//! The hosts met so far by small indices, and the letting go of those that are long gone.
+//! Maps host names to small indices, and forgets hosts that are long gone.
 
 use std::collections::VecDeque;
 
@@ -7,20 +7,20 @@
 
 use crate::fields::{self, Fault};
 
-/// Hosts that are gone and still known: a slice that is given back may name one that left some moments ago. Several
-/// times the largest fleet seen, some hundred kilobytes.
-const GONE: usize = 256;
+/// The number of gone hosts that keep their index, as a slice that is handed back may name a host that left moments
+/// ago. Several times the largest fleet seen; takes some hundred kilobytes.
+const MAX_GONE: usize = 256;
 
-/// What discovery has to tell counts as told by then.
-const TOLD_WITHIN: Time = 6 * SECOND;
+/// Discovery reports a change within this time.
+const DISCOVERY_DELAY: Time = 6 * SECOND;
 
-/// What the list said of a server last.
+/// The last listed state of a server.
 #[derive(Clone, Copy, Debug, Default)]
 struct Entry {
     health: Health,
-    /// When it last started, by the wall clock of whoever wrote the list.
-    claimed: Time,
-    /// The same by this process's clock.
+    /// Its last start by the wall clock of the list's author.
+    listed_start: Time,
+    /// Its last start by this process's clock.
     started: Time,
 }
 
@@ -29,8 +29,8 @@
     index: IdTable<String>,
     listed: Vec<bool>,
     last: Vec<Entry>,
-    /// Discovery has told a whole list: a start that is told from now on was a moment ago.
-    follows: bool,
+    /// A complete list has been received, so a start listed from now on is a recent one.
+    has_whole_list: bool,
     /// Those that the list has let go, the longest gone first.
     gone: VecDeque<usize>,
 }
@@ -46,7 +46,7 @@
         server
     }
 
-    /// The index of a host that a line of the store names, whether or not a list ever did.
+    /// Returns the index of a host named by a line of the store, whether or not a list ever contained it.
     pub fn index_of_line(&mut self, id: &str) -> usize {
         let server = self.index(id);
         if !self.listed[server] && !self.gone.contains(&server) {
@@ -59,19 +59,19 @@
         self.index.id(server).map_or("", String::as_str)
     }
 
-    /// Indices in use.
-    pub fn known(&self) -> usize {
+    /// The number of indices in use.
+    pub fn known_count(&self) -> usize {
         (0..self.listed.len()).filter(|&server| self.index.id(server).is_some()).count()
     }
 
-    pub fn listed(&self) -> usize {
+    pub fn listed_count(&self) -> usize {
         self.listed.iter().filter(|listed| **listed).count()
     }
 
-    /// Hands a list in discovery's form to the decisions. Fails with the first entry that can't be read: that one's host
-    /// is kept as known, and the rest is taken in. A host whose name can't be read may be any, so then none is taken for
-    /// gone by its absence.
-    pub fn list(
+    /// Applies a list in discovery's format to the decisions. Fails with the first unreadable entry: its host keeps
+    /// its last known state, and the readable entries are applied. If an entry's host name is unreadable, it may be
+    /// any host, so no host is taken for gone by its absence.
+    pub fn apply_list(
         &mut self,
         now: Time,
         list: &Value,
@@ -80,16 +80,16 @@
     ) -> Result<(), Fault> {
         let entries = list["instances"].as_array();
         let entries = entries.ok_or(Fault { field: "instances", expected: "a list" })?;
-        let mut unread = Ok(());
+        let mut first_error = Ok(());
         let mut kept = Vec::new();
         let mut read = Vec::new();
         let mut scope = scope;
-        for of in entries {
-            match entry(of) {
+        for raw in entries {
+            match entry(raw) {
                 Ok(entry) => read.push(entry),
-                Err(fault) => {
-                    unread = unread.and(Err(fault));
-                    match of["instanceId"].as_str() {
+                Err(error) => {
+                    first_error = first_error.and(Err(error));
+                    match raw["instanceId"].as_str() {
                         Some(id) => kept.extend(self.find(id)),
                         None => scope = if scope == Scope::Whole { Scope::Changes } else { scope },
                     }
@@ -99,8 +99,8 @@
         kept.retain(|&server| self.listed[server]);
         let mut listed = if scope == Scope::Changes { self.listed.clone() } else { Vec::new() };
         steward.list_begin(scope);
-        for (id, health, claimed) in read {
-            // What is gone and was never met needs no index.
+        for (id, health, listed_start) in read {
+            // A gone host that is unknown needs no index.
             if health == Health::Gone && self.find(id).is_none() {
                 continue;
             }
@@ -108,8 +108,8 @@
             listed.resize(listed.len().max(server + 1), false);
             listed[server] = health != Health::Gone;
             self.last.resize(self.last.len().max(server + 1), Entry::default());
-            let started = self.started(now, server, claimed);
-            self.last[server] = Entry { health, claimed, started };
+            let started = self.started(now, server, listed_start);
+            self.last[server] = Entry { health, listed_start, started };
             steward.list_entry(server, health, started);
         }
         listed.resize(self.listed.len(), false);
@@ -118,41 +118,43 @@
             steward.list_entry(server, self.last[server].health, self.last[server].started);
         }
         steward.list_end(scope);
-        self.follows |= scope == Scope::Whole;
+        self.has_whole_list |= scope == Scope::Whole;
         for (server, listed) in listed.into_iter().enumerate() {
             if self.listed[server] && !listed && !self.gone.contains(&server) {
                 self.gone.push_back(server);
             }
             self.listed[server] = listed;
         }
-        unread
+        first_error
     }
 
-    /// When a server started, by this process's clock. Guards against a wall clock that was stepped, here or elsewhere: a
-    /// cold server would count as warm, or all as cold for as long as the step. What is told of a start in service is told
-    /// within [`TOLD_WITHIN`], so another age than that is the clocks' difference, and it has started now.
-    fn started(&self, now: Time, server: usize, claimed: Time) -> Time {
+    /// Returns a server's start by this process's clock. Guards against a wall clock that was stepped, here or
+    /// elsewhere: a cold server would count as warm, or all servers as cold for the length of the step. A start in
+    /// service is reported within [`DISCOVERY_DELAY`], so any other age is a difference between the clocks, and the
+    /// server has started now.
+    fn started(&self, now: Time, server: usize, listed_start: Time) -> Time {
         let last = self.last[server];
-        if claimed == 0 {
+        if listed_start == 0 {
             return 0;
         }
-        if claimed == last.claimed {
+        if listed_start == last.listed_start {
             return last.started;
         }
-        let recent = now - TOLD_WITHIN <= claimed && claimed <= now;
-        if self.follows && !recent {
+        let recent = now - DISCOVERY_DELAY <= listed_start && listed_start <= now;
+        if self.has_whole_list && !recent {
             now
         } else {
-            claimed.min(now)
+            listed_start.min(now)
         }
     }
 
-    /// Lets the longest gone go, as far as nothing names them; `named` tells whether the host itself still does.
+    /// Forgets the hosts that have been gone longest, unless something refers to them; `named` says whether the
+    /// session still does.
     pub fn sweep(&mut self, steward: &mut Steward, named: impl Fn(usize) -> bool) {
         let listed = std::mem::take(&mut self.listed);
         self.gone.retain(|&server| !listed[server]);
         self.listed = listed;
-        for _ in GONE..self.gone.len() {
+        for _ in MAX_GONE..self.gone.len() {
             let Some(server) = self.gone.pop_front() else { return };
             if !named(server) && steward.forget(server) {
                 self.index.release(server);
@@ -168,7 +170,7 @@
         "active" => Health::Ready,
         "leaving" => Health::Draining,
         "left" => Health::Gone,
-        _ => return fields::fault("lifecycle", "active, leaving or left"),
+        _ => return fields::invalid("lifecycle", "active, leaving or left"),
     };
-    Ok((fields::text(entry, "instanceId")?, health, fields::moment(entry, "startedAtMs")?))
+    Ok((fields::text(entry, "instanceId")?, health, fields::unix_time(entry, "startedAtMs")?))
 }
--- a/crates/platform/src/session.rs
+++ b/crates/platform/src/session.rs
@@ -1,39 +1,41 @@
-//! The session: takes in what is learnt, and hands out the calls that carry the decisions to the store.
+//! The session: receives notifications, lists and reports, and returns the calls that carry the decisions to the
+//! store.
 //!
-//! Decisions are pulled only while every earlier order is surely carried out, news from after that have been heard, and
-//! what stands is known. So whatever the decisions take for proof (an answer, a joining, a lease run out) is looked at
-//! with all their orders in the store, and with whatever the store had to tell when it carried them out.
+//! Decisions are made only while every earlier order is known to be applied, a notification from after that has been
+//! received, and the current state is known. So whatever the decisions take as proof (an acknowledgement, a proxy
+//! that joins, an expired lease) is evaluated with all their orders in the store, and with everything that the store
+//! reported when it applied them.
 
+mod notifications;
 mod orders;
-mod ownership;
 mod reports;
 
 use ravenspar_steward::{Order, Scope, Settings, Steward, Time, Waiting, SECOND};
 use serde_json::Value;
 
-use crate::calls::{slice_of, CallState, Calls, CarriedOut, Ended, Settled};
-use crate::drains::{Drains, Owed};
+use crate::calls::{slice_of, AnswerOutcome, AppliedCall, CallState, Calls, LostCall};
+use crate::drains::{Drains, PendingRevokes};
 use crate::fields;
 use crate::hold::{Held, Hold, HoldClock};
 use crate::servers::Servers;
 use crate::settings::{flatten, names, Names};
-use crate::slices::{row_of, Ownership, Slice};
+use crate::slices::{line_of, Assignment, Slice};
 use crate::subscription::Subscription;
 
-/// A subscription of which nothing is heard for so long is given up; heartbeats come once a second.
+/// A subscription without any notification for this long is dropped; heartbeats come once a second.
 pub const SILENCE: Time = 22 * SECOND / 10;
 
-/// A call to write.
+/// A call to write to the store.
 #[derive(Debug, PartialEq)]
 pub struct Call {
-    /// As its line has it.
+    /// The id in the encoded call.
     pub id: u64,
     pub line: String,
-    /// The connection before is of no further use.
+    /// The previous connection is unusable: open a new one.
     pub anew: bool,
 }
 
-/// What on-call staff want to know.
+/// Metrics for operators.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Figures {
     pub joined: usize,
@@ -44,13 +46,13 @@
     pub list_version: Option<u64>,
     pub list_heard: Option<Time>,
     pub news_heard: Option<Time>,
-    /// Since the start: messages that could not be used, calls that were lost, orders that were refused.
+    /// Totals since the start: unusable messages, lost calls, refused orders.
     pub spoilt: u64,
     pub lost: u64,
     pub refused: u64,
-    /// Since when decisions stand still, and why, if they do.
+    /// The current hold of decisions, if there is one.
     pub held: Option<Held>,
-    /// Lines that the ledger takes to wait in the channel.
+    /// Lines that the ledger counts as waiting in the channel.
     pub waiting: Waiting,
 }
 
@@ -60,32 +62,33 @@
     names: Names,
     proxies: Vec<bool>,
     slices: Vec<Slice>,
-    /// The longest that a write stays in hand.
+    /// The longest time that a write can be in progress.
     settle: Time,
     calls: Calls,
-    /// The connection for calls is of no further use.
+    /// The connection for calls is unusable.
     anew: bool,
-    wake: Option<Time>,
-    /// When to look again at restrictions that are due and found no room.
-    retry: Option<Time>,
+    wake_at: Option<Time>,
+    /// When to retry restrictions that were due and not yet sent.
+    retry_at: Option<Time>,
     subscription: Subscription,
-    /// Nothing has been heard since the last call was answered. Guards against a proxy that came back before it was
-    /// carried out, while the news are silent: by what is known its lease has run out, and it has the former owner.
-    unheard: bool,
-    /// When news were last heard that followed all that stands. Guards against a subscription that breaks off before it has
-    /// told that, and would make the gap around it look short.
-    live_heard: Option<Time>,
-    /// Since when a slice is owned whose line may still be on its way: no heartbeat came after it.
-    untold: Option<Time>,
-    /// Since when all lists were older than the one held.
-    older: Option<Time>,
+    /// No notification has been received since the last call was answered. Guards against a proxy that came back
+    /// before the call was applied, while notifications were late: as far as known its lease has expired, yet it has
+    /// the former owner.
+    awaiting_notification: bool,
+    /// When a notification was last received while the subscription was live. Guards against a subscription that
+    /// breaks off during its snapshot, which would make the gap around it look short.
+    last_live_notification: Option<Time>,
+    /// Since when there is a slice whose line may still be on its way: no heartbeat came after its assignment.
+    line_pending_since: Option<Time>,
+    /// Since when every received list was older than the current one.
+    outdated_lists_since: Option<Time>,
     figures: Figures,
     holds: HoldClock,
     drains: Drains,
 }
 
 impl Session {
-    /// Fails with what was expected of the settings or the known list.
+    /// Creates a session. The error says what was expected of the settings or of the known list.
     pub fn new(now: Time, seed: u64, settings: &Value, known: &Value) -> Result<Session, String> {
         let names = names(settings)?;
         let flat: Settings = flatten(settings);
@@ -101,7 +104,9 @@
             .map_err(|name| format!("settings.{name}: expected a number, and there is none"))?;
         let mut servers = Servers::default();
         if !known.is_null() {
-            servers.list(now, known, Scope::Kept, &mut steward).map_err(|fault| format!("known: {fault}"))?;
+            servers
+                .apply_list(now, known, Scope::Kept, &mut steward)
+                .map_err(|error| format!("known: {error}"))?;
         }
         Ok(Session {
             steward,
@@ -112,20 +117,20 @@
             settle,
             calls: Calls::default(),
             anew: false,
-            wake: None,
-            retry: None,
+            wake_at: None,
+            retry_at: None,
             subscription: Subscription::Lost { since: now },
-            unheard: false,
-            live_heard: None,
-            untold: None,
-            older: None,
+            awaiting_notification: false,
+            last_live_notification: None,
+            line_pending_since: None,
+            outdated_lists_since: None,
             figures: Figures::default(),
             holds: HoldClock::default(),
             drains: Drains::new(slices, grace),
         })
     }
 
-    /// The zones that have a collector.
+    /// Returns the zones that have a collector.
     pub fn zones(&self) -> &[String] {
         &self.names.zones
     }
@@ -133,110 +138,116 @@
     pub fn figures(&self) -> Figures {
         Figures {
             joined: self.proxies.iter().filter(|joined| **joined).count(),
-            slices: self.slices.iter().filter(|slice| slice.is_owned()).count(),
+            slices: self.slices.iter().filter(|slice| slice.is_assigned()).count(),
             unsettled: self.calls.unsettled(),
-            hosts: self.servers.listed(),
-            hosts_known: self.servers.known(),
+            hosts: self.servers.listed_count(),
+            hosts_known: self.servers.known_count(),
             held: self.holds.current(),
             waiting: self.steward.waiting(),
             ..self.figures.clone()
         }
     }
 
-    /// There is a subscription, and it has told all that stands.
+    /// Returns true if there is a subscription and its snapshot is complete.
     pub fn is_told(&self) -> bool {
         self.subscription.is_live()
     }
 
-    /// Revokes that are owed.
-    pub fn owed(&self, now: Time) -> Owed {
+    /// Returns the pending revokes.
+    pub fn owed(&self, now: Time) -> PendingRevokes {
         self.drains.owed(now)
     }
 
-    /// Revokes that have been owed for half of the drains' grace, told once.
-    pub fn overdue(&mut self, now: Time) -> Option<Owed> {
+    /// Returns the pending revokes once the oldest has been pending for half of the drains' grace; then not again
+    /// until none is pending.
+    pub fn overdue(&mut self, now: Time) -> Option<PendingRevokes> {
         self.drains.overdue(now)
     }
 
-    /// The longest time that decisions stood still since this was last asked, and why.
+    /// Returns the longest hold of decisions since the last call of this method, and its reason.
     pub fn take_longest_hold(&mut self) -> Option<(Time, Hold)> {
         self.holds.take_longest()
     }
 
-    /// A list in discovery's form, asked for as changes or as a `whole`. Returns its version. Fails, and changes nothing,
-    /// where it can't be read as a list, is older than the one held or brings changes to what was never told; fails, and
-    /// takes in what can be read, where an entry can't be.
+    /// Applies a list in discovery's format, requested as changes or as a `whole`, and returns its version. Fails
+    /// without any effect if it isn't a list, is older than the current one, or has changes where the whole list was
+    /// requested. Fails with the readable entries applied if an entry is unreadable.
     pub fn handle_list(&mut self, now: Time, body: &[u8], whole: bool) -> Result<u64, String> {
-        // What discovery has to tell counts as told within 6 s: past that, what is older is no straggler. Guards against
-        // a discovery that started over, at its address or another, and would be refused for good.
-        const STRAGGLERS: Time = 6 * SECOND;
+        // Discovery reports a change within 6 s, so an older list that comes after that is no late reply. Guards
+        // against a discovery service that restarted its versions, at its address or another, and would be refused
+        // for good.
+        const DISCOVERY_DELAY: Time = 6 * SECOND;
         let list: Value = serde_json::from_slice(body).map_err(|e| e.to_string())?;
         let version = list["generation"].as_u64().ok_or("field generation: expected a whole number")?;
-        let all = fields::flag(&list, "reset").map_err(|fault| fault.to_string())?;
-        if whole && !all {
+        let complete = fields::flag(&list, "reset").map_err(|error| error.to_string())?;
+        if whole && !complete {
             return Err("field reset: expected true, as the whole list was asked for".to_owned());
         }
         if self.figures.list_version.is_some_and(|held| version < held) {
-            let since = *self.older.get_or_insert(now);
-            if !all || now - since < STRAGGLERS {
+            let since = *self.outdated_lists_since.get_or_insert(now);
+            if !complete || now - since < DISCOVERY_DELAY {
                 return Err(format!("version {version} is older than the one held"));
             }
         }
-        let news = all || list["instances"].as_array().is_none_or(|all| !all.is_empty());
-        if news {
-            let scope = if all { Scope::Whole } else { Scope::Changes };
-            self.servers.list(now, &list, scope, &mut self.steward).map_err(|fault| fault.to_string())?;
+        let has_entries = complete || list["instances"].as_array().is_none_or(|entries| !entries.is_empty());
+        if has_entries {
+            let scope = if complete { Scope::Whole } else { Scope::Changes };
+            self.servers
+                .apply_list(now, &list, scope, &mut self.steward)
+                .map_err(|error| error.to_string())?;
         }
-        self.older = None;
+        self.outdated_lists_since = None;
         (self.figures.list_version, self.figures.list_heard) = (Some(version), Some(now));
         Ok(version)
     }
 
-    /// The answer to the call under way.
+    /// Handles the answer to the call in flight.
     pub fn handle_answer(&mut self, now: Time, line: &[u8]) {
         match self.calls.answered(now, line) {
-            Settled::Unreadable => self.handle_call_lost(now, true),
-            Settled::Refused => self.anew = true,
-            Settled::Done(done, refused) => {
-                self.carried_out(done);
+            AnswerOutcome::Unreadable => self.handle_call_lost(now, true),
+            AnswerOutcome::Rejected => self.anew = true,
+            AnswerOutcome::Applied(done, refused) => {
+                self.orders_applied(done);
                 let Some(order) = refused else { return };
                 self.figures.refused += 1;
-                // A grant or a revoke that did not come about must not be taken for one.
-                if let Some((slice, _)) = row_of(&order).filter(|(slice, _)| self.slices[*slice].is_owned()) {
-                    self.start_over(now, slice, self.slices[slice].row);
+                // A refused grant or revoke must not be taken for an applied one.
+                if let Some((slice, _)) =
+                    line_of(&order).filter(|(slice, _)| self.slices[*slice].is_assigned())
+                {
+                    self.restart_slice(now, slice, self.slices[slice].line);
                 }
             }
         }
     }
 
-    /// These orders are surely in the store.
-    fn carried_out(&mut self, done: Vec<Order>) {
-        self.unheard = true;
-        for (slice, row) in done.iter().filter_map(row_of) {
+    /// Records that these orders were applied.
+    fn orders_applied(&mut self, done: Vec<Order>) {
+        self.awaiting_notification = true;
+        for (slice, line) in done.iter().filter_map(line_of) {
             let known = &mut self.slices[slice];
-            if known.is_owned() {
-                (known.row, known.ownership) = (row, Ownership::Owned);
+            if known.is_assigned() {
+                (known.line, known.assignment) = (line, Assignment::Assigned);
             }
         }
     }
 
-    /// A call was carried out under a mark that a proxy has answered.
-    pub(crate) fn proven(&mut self, call: CarriedOut) {
-        for (slice, _) in call.orders.iter().filter_map(row_of).filter(|(_, row)| row.is_none()) {
+    /// Records that a call was applied, as a proxy has acknowledged its mark.
+    pub(crate) fn call_confirmed(&mut self, call: AppliedCall) {
+        for (slice, _) in call.orders.iter().filter_map(line_of).filter(|(_, line)| line.is_none()) {
             self.steward.revoke_proven(slice, call.number);
         }
-        self.carried_out(call.orders);
+        self.orders_applied(call.orders);
     }
 
-    /// The call under way broke, or was not answered in time. `written` says whether the store may have it.
+    /// Handles a call that failed or timed out. `written` says whether the store may have received it.
     pub fn handle_call_lost(&mut self, now: Time, written: bool) {
         match self.calls.lost(now, written) {
-            Ended::None => {}
-            Ended::CarriedOut(call) => {
+            LostCall::None => {}
+            LostCall::Applied(call) => {
                 self.anew = true;
-                self.proven(call);
+                self.call_confirmed(call);
             }
-            Ended::OutcomeUnknown => {
+            LostCall::OutcomeUnknown => {
                 self.anew = true;
                 if written {
                     self.figures.lost += 1;
@@ -246,15 +257,16 @@
         }
     }
 
-    /// The next call to write, if there is one and it is time.
+    /// Makes decisions if they are not on hold, and returns the next call to write, if there is one and its time has
+    /// come.
     pub fn poll(&mut self, now: Time) -> Option<Call> {
-        if self.wake.is_some_and(|wake| now >= wake) {
-            self.wake = None;
+        if self.wake_at.is_some_and(|wake_at| now >= wake_at) {
+            self.wake_at = None;
             self.steward.reminder();
         }
         let hold = self.hold(now);
         self.holds.observe(now, hold);
-        self.retry = None;
+        self.retry_at = None;
         match hold {
             None => self.decide(now),
             Some(_) => self.restrict(now),
@@ -263,34 +275,36 @@
         self.poll_last(now)
     }
 
-    /// What decisions wait for, if for anything.
+    /// Returns what decisions are waiting for, or `None` if they may be made.
     fn hold(&self, now: Time) -> Option<Hold> {
         match self.subscription {
             Subscription::Lost { .. } => Some(Hold::SubscriptionLost),
             Subscription::Snapshot(_) => Some(Hold::Snapshot),
             Subscription::Live if !self.calls.settled() => Some(Hold::Call),
-            Subscription::Live if self.unheard || self.is_silent(now) => Some(Hold::NothingHeard),
+            Subscription::Live if self.awaiting_notification || self.is_silent(now) => {
+                Some(Hold::NothingHeard)
+            }
             Subscription::Live => None,
         }
     }
 
-    /// Nothing was heard for so long that the subscription is given up, which a process that stood still may be late to notice: what
-    /// it missed may lie unread.
+    /// Returns true if the subscription has timed out. A process that was suspended may notice that late:
+    /// notifications that it missed may be unread.
     fn is_silent(&self, now: Time) -> bool {
-        self.live_heard.is_some_and(|heard| now - heard >= SILENCE)
+        self.last_live_notification.is_some_and(|last| now - last >= SILENCE)
     }
 
-    /// While decisions stand still: what only takes away goes out all the same, unless that ends in a moment.
+    /// Sends restrictive orders while decisions are on hold, unless the hold is very short.
     fn restrict(&mut self, now: Time) {
-        // A call is answered within 60 ms as a rule, and some of the news follow.
-        const MOMENT: Time = SECOND / 10;
+        // A call is usually answered within 60 ms, with a notification soon after.
+        const SHORT_HOLD: Time = SECOND / 10;
         let since = self.holds.current().map_or(now, |held| held.since);
         let in_flight = matches!(self.calls.state(), CallState::InFlight(_));
         if !self.steward.is_restriction_due() || in_flight {
             return;
         }
-        if now < since + MOMENT {
-            self.retry = Some(since + MOMENT);
+        if now < since + SHORT_HOLD {
+            self.retry_at = Some(since + SHORT_HOLD);
             return;
         }
         let orders = self.orders(now, Steward::next_restriction);
@@ -301,12 +315,13 @@
                 .filter_map(|(order, _)| slice_of(order))
                 .for_each(|slice| self.steward.revoke_waits(slice));
         }
-        // Without room in the ledger: the same again soon.
-        self.retry = self.steward.is_restriction_due().then_some(now + MOMENT);
+        // The ledger has no capacity: retry soon.
+        self.retry_at = self.steward.is_restriction_due().then_some(now + SHORT_HOLD);
         self.push(orders);
     }
 
-    /// The next call of what is decided already; nothing new is. For a steward that is asked to end.
+    /// Returns the next call for orders that were already decided, and decides nothing new. Used alone for a steward
+    /// that is shutting down.
     pub fn poll_last(&mut self, now: Time) -> Option<Call> {
         let is_live = self.subscription.is_live();
         if self.calls.next_timeout(is_live).is_none_or(|at| now < at) || !self.calls.prepare(is_live) {
@@ -315,7 +330,7 @@
         let uncounted = self.calls.uncounted();
         if uncounted > 0 {
             let Some(repeat) = self.steward.repeat(now, uncounted) else {
-                self.calls.wait(now);
+                self.calls.delay_next(now);
                 return None;
             };
             let mark = Order::Stamp { number: repeat.number };
@@ -328,13 +343,13 @@
         let CallState::InFlight(id) = self.calls.state() else { return None };
         for order in self.calls.first() {
             if let Some(slice) = slice_of(order) {
-                self.slices[slice].ordered(now, order);
+                self.slices[slice].order_written(now, order);
             }
         }
         Some(Call { id, line, anew: std::mem::take(&mut self.anew) })
     }
 
-    /// All that was decided is surely carried out.
+    /// Returns true if all orders are known to be applied.
     pub fn settled(&self) -> bool {
         self.calls.settled()
     }
@@ -345,24 +360,24 @@
         self.servers.sweep(&mut self.steward, |server| {
             let ordered =
                 |order: &Order| matches!(order, Order::SetLine { server: named, .. } if *named == server);
-            let row = |slice: &Slice| slice.row.is_some_and(|(named, _)| named == server);
-            slices.iter().any(row) || orders.iter().any(|(order, _)| ordered(order))
+            let has_line_to = |slice: &Slice| slice.line.is_some_and(|(named, _)| named == server);
+            slices.iter().any(has_line_to) || orders.iter().any(|(order, _)| ordered(order))
         });
         self.push(orders);
     }
 
     fn push(&mut self, orders: Vec<(Order, String)>) {
         if !self.subscription.is_live() {
-            for (slice, row) in orders.iter().filter_map(|(order, _)| row_of(order)) {
-                self.slices[slice].may_become(row);
+            for (slice, line) in orders.iter().filter_map(|(order, _)| line_of(order)) {
+                self.slices[slice].add_possible_line(line);
             }
         }
         self.calls.push(orders.into_iter());
     }
 
-    /// When to poll though nothing was learnt.
+    /// Returns when to poll next if no event comes before.
     pub fn next_timeout(&self) -> Option<Time> {
-        [self.wake, self.retry, self.calls.next_timeout(self.subscription.is_live())]
+        [self.wake_at, self.retry_at, self.calls.next_timeout(self.subscription.is_live())]
             .into_iter()
             .flatten()
             .min()
--- a/crates/platform/src/session/orders.rs
+++ b/crates/platform/src/session/orders.rs
@@ -1,4 +1,4 @@
-//! The decisions' orders, as the store reads them.
+//! Encodes the decisions' orders for the store.
 
 use ravenspar_steward::{Order, Steward, Time, WHOLE};
 use serde_json::{json, Value};
@@ -6,7 +6,7 @@
 use super::Session;
 
 impl Session {
-    /// All that the decisions order now, each with its text.
+    /// Drains the current orders of the decisions, each with its encoded text.
     pub(super) fn orders(
         &mut self,
         now: Time,
@@ -15,8 +15,8 @@
         let mut orders = Vec::new();
         while let Some(order) = next(&mut self.steward, now) {
             match order {
-                Order::Remind { at } => self.wake = Some(at),
-                // The list is always watched.
+                Order::Remind { at } => self.wake_at = Some(at),
+                // The list is always watched, so this needs no order.
                 Order::Watch => {}
                 order => {
                     let text = self.text(&order);
@@ -27,7 +27,7 @@
         orders
     }
 
-    /// One order as the store reads it.
+    /// Encodes one order as the store expects it.
     pub(super) fn text(&self, order: &Order) -> String {
         let order = match order {
             Order::SetLine { slice, server } => {
--- a/crates/platform/src/slices.rs
+++ b/crates/platform/src/slices.rs
@@ -1,53 +1,55 @@
-//! What is known of each slice: whether this steward owns it, and which line the store has.
+//! The known state of each slice: whether it is assigned to this steward, and which line the store has.
 
 use ravenspar_steward::{Order, Time, SECOND, WHOLE};
 
 use crate::calls::slice_of;
-use crate::subscription::Standing;
+use crate::subscription::SliceSnapshot;
 
-/// The line of a slice's table: server and weight.
-pub type Row = Option<(usize, f64)>;
+/// The line of a slice, if it has one: server and weight.
+pub type Line = Option<(usize, f64)>;
 
-/// Whether this steward owns a slice, and how well its line is known.
+/// Whether a slice is assigned to this steward, and how well its line is known.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Ownership {
+pub enum Assignment {
     #[default]
-    NotOwned,
-    /// Just given: its line, if it has one, is about to be told; at the latest until it is ordered about.
-    AwaitsLine,
-    Owned,
-    /// It was given before an order of this steward's for it was carried out, or after, and nobody can say: its line is
-    /// unclear until a revoke of it has been carried out. Other slices are decided meanwhile.
-    Unclear,
+    Unassigned,
+    /// Just assigned. Its line, if it has one, is about to be received; it is accepted until an order for the slice
+    /// is written.
+    AwaitingLine,
+    Assigned,
+    /// Assigned either before or after one of this steward's orders for it was applied. Its line stays unknown until
+    /// a revoke of it has been applied; other slices are decided meanwhile.
+    LineUnclear,
 }
 
-/// What an order for a slice may have changed of what the store told.
+/// The part of a slice's reported state that an order may have changed at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Crossing {
     None,
-    /// The levels alone.
+    /// Only the levels.
     Levels,
     Line,
 }
 
-/// A call names the slice: it is carried out within this time or never, with the time to connect and to write.
-const CALL: Time = SECOND / 2;
+/// A call is applied within this time of being written or never; includes the time to connect and to write.
+const CALL_TIMEOUT: Time = SECOND / 2;
 
-/// Heartbeats after a giving by which a line has been told if there is one: the first may come between the two.
+/// Heartbeats after an assignment by which the slice's line, if any, has been received: the first may come between
+/// the two.
 const HEARTBEATS_WITHOUT_LINE: u8 = 2;
 
 #[derive(Clone, Debug)]
 pub struct Slice {
-    pub ownership: Ownership,
-    /// The line as the store has it, as far as known.
-    pub row: Row,
-    /// Heartbeats since it was given, as far as they count.
+    pub assignment: Assignment,
+    /// The line in the store, as far as known.
+    pub line: Line,
+    /// Heartbeats since it was assigned, up to [`HEARTBEATS_WITHOUT_LINE`].
     heartbeats: u8,
-    /// Lines that the store may have had since the subscription was lost, until another has told what stands.
-    possible: Vec<Row>,
-    /// When a call was last written that names its line, and its levels.
-    line_ordered: Time,
-    levels_ordered: Time,
+    /// Lines that the store may have had since the subscription was lost; empty once a new snapshot is complete.
+    possible_lines: Vec<Line>,
+    /// When a call that names its line, or its levels, was last written.
+    line_ordered_at: Time,
+    levels_ordered_at: Time,
     /// A call that names its line was written since the present subscription began.
     line_ordered_since: bool,
 }
@@ -56,140 +58,143 @@
     fn default() -> Slice {
         const NEVER: Time = Time::MIN / 2;
         Slice {
-            ownership: Ownership::NotOwned,
-            row: None,
+            assignment: Assignment::Unassigned,
+            line: None,
             heartbeats: 0,
-            possible: Vec::new(),
-            line_ordered: NEVER,
-            levels_ordered: NEVER,
+            possible_lines: Vec::new(),
+            line_ordered_at: NEVER,
+            levels_ordered_at: NEVER,
             line_ordered_since: false,
         }
     }
 }
 
 impl Slice {
-    pub fn is_owned(&self) -> bool {
-        self.ownership != Ownership::NotOwned
+    pub fn is_assigned(&self) -> bool {
+        self.assignment != Assignment::Unassigned
     }
 
-    /// The store has assigned it to this steward: its line is about to be told.
-    pub fn assigned(&mut self) {
-        (self.ownership, self.row, self.heartbeats) = (Ownership::AwaitsLine, None, 0);
+    /// Records that the store has assigned it to this steward; its line is about to be received.
+    pub fn assign(&mut self) {
+        (self.assignment, self.line, self.heartbeats) = (Assignment::AwaitingLine, None, 0);
     }
 
-    /// A heartbeat has come. One that ends a snapshot comes after all lines that stand.
+    /// Records a heartbeat. One that ends a snapshot comes after all current lines.
     pub fn heartbeat(&mut self, ends_snapshot: bool) {
         let counted = if ends_snapshot { HEARTBEATS_WITHOUT_LINE } else { self.heartbeats + 1 };
         self.heartbeats = counted.min(HEARTBEATS_WITHOUT_LINE);
     }
 
-    /// No line was told though it would have been: it has none. One that is told all the same counts until the slice is ordered
-    /// about.
+    /// Returns true if it has no line: one would have been received by now. A line that is received later is still
+    /// accepted until an order for the slice is written.
     pub fn is_without_line(&self) -> bool {
-        self.ownership == Ownership::AwaitsLine && self.heartbeats >= HEARTBEATS_WITHOUT_LINE
+        self.assignment == Assignment::AwaitingLine && self.heartbeats >= HEARTBEATS_WITHOUT_LINE
     }
 
-    /// Whether this steward owns it and knows what the store has of it, be it that nobody can say.
+    /// Returns true if it is assigned to this steward and either its state in the store is known, or its line is
+    /// known to be unclear.
     pub fn is_known(&self) -> bool {
-        match self.ownership {
-            Ownership::NotOwned => false,
-            Ownership::AwaitsLine => self.is_without_line(),
-            Ownership::Owned | Ownership::Unclear => true,
+        match self.assignment {
+            Assignment::Unassigned => false,
+            Assignment::AwaitingLine => self.is_without_line(),
+            Assignment::Assigned | Assignment::LineUnclear => true,
         }
     }
 
-    /// A call with such an order for it is written.
-    pub fn ordered(&mut self, now: Time, order: &Order) {
-        if self.ownership == Ownership::AwaitsLine {
-            self.ownership = Ownership::Owned;
+    /// Records that a call with this order for it was written.
+    pub fn order_written(&mut self, now: Time, order: &Order) {
+        if self.assignment == Assignment::AwaitingLine {
+            self.assignment = Assignment::Assigned;
         }
         match order {
             Order::SetLine { .. } | Order::DropLines { .. } => {
-                (self.line_ordered, self.line_ordered_since) = (now, true);
+                (self.line_ordered_at, self.line_ordered_since) = (now, true);
             }
-            _ => self.levels_ordered = now,
+            _ => self.levels_ordered_at = now,
         }
     }
 
-    /// What a call of this steward's may have changed of what the store said at this time or later.
-    pub fn crossing(&self, said: Time) -> Crossing {
-        if said < self.line_ordered + CALL {
+    /// Returns the part of a state reported by the store at time `reported` or later that this steward's calls may
+    /// have changed.
+    pub fn crossing(&self, reported: Time) -> Crossing {
+        if reported < self.line_ordered_at + CALL_TIMEOUT {
             Crossing::Line
-        } else if said < self.levels_ordered + CALL {
+        } else if reported < self.levels_ordered_at + CALL_TIMEOUT {
             Crossing::Levels
         } else {
             Crossing::None
         }
     }
 
-    /// The subscription is lost, or another begins: the store may have its line as known, or as these orders would leave it.
-    pub fn is_uncertain(&mut self, pending: &[Row]) {
+    /// Records that the subscription was lost or replaced: the store may have the known line, or the line that one of
+    /// the `pending` orders sets.
+    pub fn mark_uncertain(&mut self, pending: &[Line]) {
         self.line_ordered_since = false;
-        self.may_become(self.row);
-        pending.iter().for_each(|row| self.may_become(*row));
+        self.add_possible_line(self.line);
+        pending.iter().for_each(|line| self.add_possible_line(*line));
     }
 
-    /// The store may have this line from now on.
-    pub fn may_become(&mut self, row: Row) {
-        if !self.possible.contains(&row) {
-            self.possible.push(row);
+    /// Records that the store may have this line from now on.
+    pub fn add_possible_line(&mut self, line: Line) {
+        if !self.possible_lines.contains(&line) {
+            self.possible_lines.push(line);
         }
     }
 
-    /// All that stands has been told: nothing but what is known is possible any more.
-    pub fn is_certain(&mut self) {
-        self.possible.clear();
+    /// Records that the snapshot is complete, so that only the known line is possible.
+    pub fn mark_certain(&mut self) {
+        self.possible_lines.clear();
     }
 
-    /// A call that names its line was written since the present subscription began.
+    /// Returns true if a call that names its line was written since the present subscription began.
     pub fn is_line_ordered_since(&self) -> bool {
         self.line_ordered_since
     }
 
-    /// How a line that is told as standing goes with what was known and ordered. `earliest` is when it can be from;
-    /// `pending` says that an order for its line is not settled.
-    pub fn compare(&self, told: Standing, earliest: Time, pending: bool) -> Told {
-        if self.ownership == Ownership::Unclear {
-            return Told::AsKnown;
+    /// Compares the slice's line in a snapshot with the known line and this steward's orders. `earliest` is the
+    /// earliest time that the snapshot can date from; `pending` says that an order for its line is not settled.
+    pub fn compare(&self, current: SliceSnapshot, earliest: Time, pending: bool) -> Comparison {
+        if self.assignment == Assignment::LineUnclear {
+            return Comparison::Matches;
         }
-        // Guards against a slice that was another steward's when the order was carried out, which changed nothing, and that was
-        // given since, with its line or by the other's revoke without one.
-        if told.after_order {
-            return Told::Unclear;
+        // Guards against an order that was applied, without effect, while the slice was assigned to another steward,
+        // which then handed it over with its line, or without one after a revoke of its own.
+        if current.after_order {
+            return Comparison::Unclear;
         }
-        if told.row == self.row {
-            return Told::AsKnown;
+        if current.line == self.line {
+            return Comparison::Matches;
         }
-        if !self.possible.contains(&told.row) {
+        if !self.possible_lines.contains(&current.line) {
             let crossed = self.crossing(earliest) == Crossing::Line;
-            return if crossed { Told::Unclear } else { Told::Otherwise };
+            return if crossed { Comparison::Unclear } else { Comparison::ChangedElsewhere };
         }
-        // An order that is not settled is sent again; one that was written to this subscription's store and carried out
-        // came after what had been told.
+        // An order that is not settled is sent again. One that was written during this subscription and applied came
+        // after the state in the snapshot.
         if pending || self.line_ordered_since {
-            Told::AsKnown
+            Comparison::Matches
         } else {
-            Told::Unclear
+            Comparison::Unclear
         }
     }
 }
 
-/// How a line that is told as standing goes with what was known and ordered.
+/// How a slice's line in a snapshot relates to the known line and this steward's orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
-    AsKnown,
-    /// It is another steward's work.
-    Otherwise,
-    /// An order carried out in the gap may have met the slice in this steward's hands, or in another's.
+pub enum Comparison {
+    Matches,
+    /// Another steward changed it.
+    ChangedElsewhere,
+    /// An order applied in the gap may have found the slice assigned to this steward or to another.
     Unclear,
 }
 
-/// The slice and the line that an order leaves there, where it sets one or drops it.
-pub fn row_of(order: &Order) -> Option<(usize, Row)> {
-    let row = match *order {
+/// Returns the slice and its resulting line for an order that sets or drops a line.
+pub fn line_of(order: &Order) -> Option<(usize, Line)> {
+    let line = match *order {
         Order::SetLine { server, .. } => Some((server, WHOLE)),
         Order::DropLines { .. } => None,
         _ => return None,
     };
-    slice_of(order).map(|slice| (slice, row))
+    slice_of(order).map(|slice| (slice, line))
 }
--- a/crates/platform/src/subscription.rs
+++ b/crates/platform/src/subscription.rs
@@ -1,46 +1,47 @@
-//! What is known of the subscription to the store's news.
+//! State of the subscription to the store's notifications.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use ravenspar_steward::Time;
 
-use crate::slices::Row;
+use crate::slices::Line;
 
-/// The state of the subscription. `docs/design/platform.md` has the diagram.
+/// State of the subscription. `docs/design/platform.md` has the state diagram.
 #[derive(Debug)]
 pub enum Subscription {
-    /// There is none since then: what was known last holds, and may be out of date.
+    /// Not subscribed since this time. The last known state is kept and may be out of date.
     Lost { since: Time },
-    /// It is telling what stands.
+    /// Subscribed; the snapshot of the current state is being received.
     Snapshot(Snapshot),
-    /// All that stands has been told, and changes follow.
+    /// The snapshot is complete; further notifications are changes.
     Live,
 }
 
-/// What the store has told since the subscription, up to its first heartbeat: all that stands comes before that.
+/// The state received since the subscription began. The first heartbeat ends it: the store sends its whole current
+/// state before that.
 #[derive(Debug, Default)]
 pub struct Snapshot {
-    /// When news that followed all that stands were last heard before it, if there were any.
-    pub heard: Option<Time>,
-    /// The earliest that what it tells can be from: when the subscription before it was lost.
+    /// When the last notification of an earlier live subscription was received, if there was one.
+    pub last_live: Option<Time>,
+    /// The earliest time that its contents can date from: when the previous subscription was lost.
     pub earliest: Time,
-    /// When its first line was heard: what it tells as standing is from then at the latest.
+    /// When its first notification was received; its contents date from this time at the latest.
     pub began: Time,
     pub proxies: BTreeSet<usize>,
-    pub slices: BTreeMap<usize, Standing>,
+    pub slices: BTreeMap<usize, SliceSnapshot>,
 }
 
-/// What it tells of one slice.
+/// The state of one slice in a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Standing {
-    pub row: Row,
-    /// A call that names its line was written to this subscription's store before the slice was told: the slice may have been given
-    /// after the call was carried out, and without it.
+pub struct SliceSnapshot {
+    pub line: Line,
+    /// A call that names its line was written during this subscription, before the snapshot listed the slice. The
+    /// slice may have been assigned after that call was applied, and so without its effect.
     pub after_order: bool,
 }
 
 impl Subscription {
-    /// What is being told, while it is.
+    /// Returns the snapshot while it is being received.
     pub fn snapshot(&mut self) -> Option<&mut Snapshot> {
         match self {
             Subscription::Snapshot(snapshot) => Some(snapshot),
