--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -79,7 +79,7 @@
 mod tests {
     use super::*;
 
-    fn good() -> Value {
+    fn valid_config() -> Value {
         serde_json::json!({
             "name": "n3", "listen": "127.0.0.4:8443", "discovery": "127.0.0.1:8500", "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256}, "relay": {"address": "127.0.0.2:6400"},
@@ -88,15 +88,15 @@
     }
 
     #[test]
-    fn a_good_file_is_read_whole() {
-        let config = Config::read(good().to_string().as_bytes()).expect("it is good");
+    fn a_valid_file_is_parsed() {
+        let config = Config::read(valid_config().to_string().as_bytes()).expect("a valid file");
         assert_eq!((config.seed, config.sockets), (0x8c1f_30d2_7a5b_e964, 256));
         assert_eq!(config.addresses.relay.port(), 6400);
         assert_eq!(config.known["generation"], 41);
     }
 
     #[test]
-    fn what_is_missing_or_wrong_is_named() {
+    fn errors_name_the_missing_or_invalid_field() {
         for (path, value) in [
             ("/name", Value::Null),
             ("/listen", "here".into()),
@@ -106,11 +106,11 @@
             ("/settings", Value::Null),
             ("/limits/sockets", (-1).into()),
         ] {
-            let mut config = good();
-            *config.pointer_mut(path).expect("the field is there") = value;
-            let fault = Config::read(config.to_string().as_bytes()).expect_err(path);
+            let mut config = valid_config();
+            *config.pointer_mut(path).expect("an existing field") = value;
+            let error = Config::read(config.to_string().as_bytes()).expect_err(path);
             let name = path[1..].replace('/', ".");
-            assert!(fault.starts_with(&name) && fault.contains("expected"), "{path}: {fault}");
+            assert!(error.starts_with(&name) && error.contains("expected"), "{path}: {error}");
         }
         assert!(Config::read(b"{").is_err() && Config::read(b"[]").is_err() && Config::read(b"").is_err());
     }
--- a/crates/platform/src/frames/tests.rs
+++ b/crates/platform/src/frames/tests.rs
@@ -8,13 +8,13 @@
 }
 
 #[test]
-fn frames_come_out_whole_however_their_bytes_come_in() {
+fn frames_are_decoded_from_any_split_of_their_bytes() {
     let all = [framed(PONG), framed(b""), framed(NACK)].concat();
     for piece in [1, 3, 17, all.len()] {
         let (mut codec, mut buffer, mut out) = (codec(MOST_GREETING), BytesMut::new(), Vec::new());
         for bytes in all.chunks(piece) {
             buffer.put_slice(bytes);
-            while let Some(frame) = codec.decode(&mut buffer).expect("these are frames") {
+            while let Some(frame) = codec.decode(&mut buffer).expect("valid frames") {
                 out.push(frame.to_vec());
             }
         }
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn lengths_that_cannot_be_and_http_end_a_connection() {
+fn invalid_lengths_and_http_are_errors() {
     for bytes in [&b"\xff\xff\xff\xff"[..], b"GET / HTTP/1.1\r\n", b"\x01\x04\x00\x00"] {
         let mut buffer = BytesMut::from(bytes);
         assert!(codec(MOST_GREETING).decode(&mut buffer).is_err(), "{bytes:?}");
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn only_a_sign_of_life_and_a_collector_of_a_known_zone_are_heard_before_joining() {
+fn only_a_ping_or_a_source_of_a_known_zone_is_accepted_before_joining() {
     let zones = ["a".to_owned(), "b".to_owned()];
     let decode = |frame: &str, joined| decode(frame.as_bytes(), joined, &zones);
     assert_eq!(decode(r#"{"msg":"PING"}"#, false), Ok(Message::Ping));
--- a/crates/platform/src/session/tests.rs
+++ b/crates/platform/src/session/tests.rs
@@ -13,10 +13,10 @@
 
 use super::*;
 
-/// A day's start as Unix time.
+/// The start of each test as Unix time.
 const START: Time = 17_000_000_000 * SECOND / 10;
 
-/// How long a write stays in hand, by these settings.
+/// The longest time that a write can be in progress, by these settings.
 const SETTLE: Time = 5 * SECOND;
 
 fn settings(slices: usize, proxies: usize) -> Value {
@@ -40,109 +40,110 @@
     json!({"generation": version, "reset": whole, "instances": hosts})
 }
 
-/// A session with the store that it talks to: what was called for, and how many calls it has answered.
-struct Met {
+/// A session and the state of the store that it talks to.
+struct Harness {
     session: Session,
     now: Time,
+    /// The call in flight.
     call: Option<Value>,
-    /// The store tells its news, a sign of life every second.
+    /// The subscription is up, and the store sends a heartbeat every second.
     live: bool,
 }
 
-impl Met {
-    /// Hosts A and B, all slices at A, and proxies that joined.
-    fn new(slices: usize, proxies: usize) -> Met {
+impl Harness {
+    /// A settled session: hosts A and B, all slices at A, and all proxies joined.
+    fn new(slices: usize, proxies: usize) -> Harness {
         let hosts = [host("A", "active", 0), host("B", "active", 0)];
-        let mut met = Met::started(slices, proxies, &hosts);
-        met.subscribe(&(0..proxies).collect::<Vec<_>>(), &vec![Some("A"); slices]);
-        assert_eq!(met.poll(), None, "nothing to do at first");
-        // A slice is granted no sooner than a lease and a settling after it was given.
-        met.later(10 * SECOND);
-        met.news("ping", json!({}));
-        met
+        let mut harness = Harness::started(slices, proxies, &hosts);
+        harness.subscribe(&(0..proxies).collect::<Vec<_>>(), &vec![Some("A"); slices]);
+        assert_eq!(harness.poll(), None, "no call at first");
+        // A slice is granted no sooner than a lease and a settling after its assignment.
+        harness.advance(10 * SECOND);
+        harness.notify("ping", json!({}));
+        harness
     }
 
-    fn started(slices: usize, proxies: usize, hosts: &[Value]) -> Met {
-        Met::with(&settings(slices, proxies), hosts)
+    fn started(slices: usize, proxies: usize, hosts: &[Value]) -> Harness {
+        Harness::with(&settings(slices, proxies), hosts)
     }
 
-    fn with(settings: &Value, hosts: &[Value]) -> Met {
+    fn with(settings: &Value, hosts: &[Value]) -> Harness {
         let known = list(1, true, hosts);
-        let session = Session::new(START, 7, settings, &known).expect("good settings");
-        let mut met = Met { session, now: START, call: None, live: false };
-        met.session.handle_list(START, known.to_string().as_bytes(), true).expect("a good list");
-        met
+        let session = Session::new(START, 7, settings, &known).expect("valid settings");
+        let mut harness = Harness { session, now: START, call: None, live: false };
+        harness.session.handle_list(START, known.to_string().as_bytes(), true).expect("a valid list");
+        harness
     }
 
-    fn news(&mut self, method: &str, params: Value) {
+    fn notify(&mut self, method: &str, params: Value) {
         let line = json!({"jsonrpc": "2.0", "method": method, "params": params});
-        self.session.handle_news(self.now, line.to_string().as_bytes()).expect("good news");
+        self.session.handle_news(self.now, line.to_string().as_bytes()).expect("a valid notification");
     }
 
-    fn begin(&mut self) {
+    fn begin_subscription(&mut self) {
         let result = br#"{"jsonrpc":"2.0","id":1,"result":true}"#;
         self.session.handle_news(self.now, result).expect("a subscription");
     }
 
-    fn given(&mut self, slice: usize, owner: Option<&str>) {
-        self.news("GRANT", json!({"range": slice, "flag": true}));
+    fn assign(&mut self, slice: usize, owner: Option<&str>) {
+        self.notify("GRANT", json!({"range": slice, "flag": true}));
         if let Some(owner) = owner {
-            self.news("ROW", json!({"range": slice, "target": owner, "rps": 1.0}));
+            self.notify("ROW", json!({"range": slice, "target": owner, "rps": 1.0}));
         }
     }
 
-    fn joins(&mut self, proxy: usize) {
-        self.news("SUBSCRIBE", json!({"id": proxy, "site": "a", "rps": 2.0, "new": false}));
+    fn join(&mut self, proxy: usize) {
+        self.notify("SUBSCRIBE", json!({"id": proxy, "site": "a", "rps": 2.0, "new": false}));
     }
 
-    fn answers(&mut self, proxy: usize, mark: u64) {
-        self.news("ACK", json!({"id": proxy, "seq": mark, "ms": 300.0}));
+    fn acknowledge(&mut self, proxy: usize, mark: u64) {
+        self.notify("ACK", json!({"id": proxy, "seq": mark, "ms": 300.0}));
     }
 
-    /// A new subscription, with these proxies joined and these owners of the slices from 0 on.
+    /// Starts a subscription with these proxies joined and these owners of the slices from 0 on.
     fn subscribe(&mut self, proxies: &[usize], owners: &[Option<&str>]) {
-        self.begin();
-        proxies.iter().for_each(|&proxy| self.joins(proxy));
-        owners.iter().enumerate().for_each(|(slice, owner)| self.given(slice, *owner));
-        self.news("ping", json!({}));
+        self.begin_subscription();
+        proxies.iter().for_each(|&proxy| self.join(proxy));
+        owners.iter().enumerate().for_each(|(slice, owner)| self.assign(slice, *owner));
+        self.notify("ping", json!({}));
         self.live = true;
     }
 
-    fn news_lost(&mut self) {
+    fn lose_subscription(&mut self) {
         self.live = false;
         self.session.handle_news_lost(self.now);
     }
 
-    fn changed(&mut self, version: u64, hosts: &[Value]) {
+    fn change_hosts(&mut self, version: u64, hosts: &[Value]) {
         let list = list(version, false, hosts).to_string();
-        self.session.handle_list(self.now, list.as_bytes(), false).expect("a good list");
+        self.session.handle_list(self.now, list.as_bytes(), false).expect("a valid list");
     }
 
-    fn later(&mut self, span: Time) {
+    fn advance(&mut self, span: Time) {
         self.now += span;
     }
 
-    /// The changes of the next call, if there is one.
+    /// Polls for the next call and returns its changes.
     fn poll(&mut self) -> Option<Vec<Value>> {
         let call = self.session.poll(self.now)?;
-        let call: Value = serde_json::from_str(&call.line).expect("calls are JSON");
+        let call: Value = serde_json::from_str(&call.line).expect("a JSON call");
         let changes = call["params"]["changes"].as_array().cloned();
         self.call = Some(call);
         changes
     }
 
-    fn answer(&mut self, taken: usize) {
-        let id = self.call.take().expect("a call is under way")["id"].clone();
-        let line = json!({"jsonrpc": "2.0", "id": id, "result": {"ok_count": taken}}).to_string();
+    fn answer(&mut self, accepted: usize) {
+        let id = self.call.take().expect("a call in flight")["id"].clone();
+        let line = json!({"jsonrpc": "2.0", "id": id, "result": {"ok_count": accepted}}).to_string();
         self.session.handle_answer(self.now, line.as_bytes());
     }
 
-    /// The last mark asked for, in these changes or before.
-    fn session_mark(&self, asked: &[Value], before: &[Value]) -> u64 {
-        asked.iter().rev().find_map(|change| change["nonce_out"].as_u64()).unwrap_or_else(|| mark(before))
+    /// Returns the last mark in these changes, or else in those before.
+    fn last_mark(&self, last: &[Value], before: &[Value]) -> u64 {
+        last.iter().rev().find_map(|change| change["nonce_out"].as_u64()).unwrap_or_else(|| mark(before))
     }
 
-    /// All that is called for up to a time, each call answered at once.
+    /// Runs for a time span, answers each call at once and returns the changes of all calls.
     fn run(&mut self, span: Time) -> Vec<Value> {
         let end = self.now + span;
         let mut all = Vec::new();
@@ -153,17 +154,18 @@
             }
             self.now += SECOND / 20;
             if self.live && self.now % SECOND < SECOND / 20 {
-                self.news("ping", json!({}));
+                self.notify("ping", json!({}));
             }
         }
         all
     }
 
-    /// The same until slices have settled whose revokes are answered now, and a second more. None is granted before.
+    /// Runs until slices have settled whose revokes are acknowledged now, and a second more. Asserts that none is
+    /// granted before.
     #[track_caller]
     fn run_settled(&mut self) -> Vec<Value> {
         let before = self.run(SETTLE - SECOND / 10);
-        assert!(grants(&before).is_empty(), "before the writes are over: {before:?}");
+        assert!(grants(&before).is_empty(), "before its writes have ended: {before:?}");
         [before, self.run(SECOND)].concat()
     }
 }
@@ -177,57 +179,59 @@
 }
 
 fn mark(changes: &[Value]) -> u64 {
-    changes.last().and_then(|change| change["nonce_out"].as_u64()).expect("a call ends with its mark")
+    changes.last().and_then(|change| change["nonce_out"].as_u64()).expect("a closing mark")
 }
 
-/// The same orders once more, under a mark of their own: an answer to the first sending is none to the second.
+/// Asserts that the same orders are sent again under a new mark: an acknowledgement of the first attempt proves
+/// nothing of the second.
 #[track_caller]
-fn assert_again(again: Option<Vec<Value>>, before: &[Value]) -> Vec<Value> {
-    let again = again.expect("the same call once more");
-    let but_the_mark = |changes: &[Value]| changes[..changes.len() - 1].to_vec();
-    assert_eq!(but_the_mark(&again), but_the_mark(before));
-    assert_ne!(mark(&again), mark(before));
-    again
+fn assert_resent(retry: Option<Vec<Value>>, before: &[Value]) -> Vec<Value> {
+    let retry = retry.expect("the same call again");
+    let without_mark = |changes: &[Value]| changes[..changes.len() - 1].to_vec();
+    assert_eq!(without_mark(&retry), without_mark(before));
+    assert_ne!(mark(&retry), mark(before));
+    retry
 }
 
 #[test]
-fn a_drain_is_revoked_under_a_mark_answered_and_granted() {
-    let mut met = Met::new(1, 1);
-    met.changed(2, &[host("A", "leaving", 0)]);
-    let revoke = met.poll().expect("the drain can't wait");
+fn a_drained_slice_is_revoked_acknowledged_and_granted() {
+    let mut harness = Harness::new(1, 1);
+    harness.change_hosts(2, &[host("A", "leaving", 0)]);
+    let revoke = harness.poll().expect("a revoke for the drain");
     assert_eq!(verbs(&revoke), ["clear", "mark"]);
-    met.answer(2);
-    assert_eq!(met.run(2 * SECOND), [Value::Null; 0], "nothing before the proxy has answered");
-    met.answers(0, mark(&revoke));
-    let changes = met.run_settled();
+    harness.answer(2);
+    assert_eq!(harness.run(2 * SECOND), [Value::Null; 0], "no call before the proxy has acknowledged");
+    harness.acknowledge(0, mark(&revoke));
+    let changes = harness.run_settled();
     assert_eq!((verbs(&changes), grants(&changes)), (vec!["share", "mark"], vec!["B"]));
     assert_eq!(changes[0]["rps"], json!(1.0), "open to all");
-    assert_eq!(met.run(6 * SECOND), [Value::Null; 0], "and nothing more is to be said of it");
+    assert_eq!(harness.run(6 * SECOND), [Value::Null; 0], "no further call");
 }
 
-/// A slice settles when the store moves it to another steward and resets its levels. Proxies read the store as early as 88 ms later;
-/// the new steward is told after 150 ms, and what it orders takes 100 ms to the proxies. A line at the new owner, with its writes
-/// closed by a level, let writes reach it for a while with writes of the former one in hand ("duplicate", split days of the bench).
+/// While a slice settles the store moves it to another steward and resets its levels. Proxies read the store as early
+/// as 88 ms later; the new steward is notified after 150 ms, and its orders take 100 ms to the proxies. A line at the
+/// new owner whose writes are closed only by a level would let writes reach it while writes of the former owner are
+/// in progress ("duplicate", split days of the bench).
 #[test]
-fn writes_stay_closed_where_a_slice_that_settles_changes_hands() {
+fn writes_stay_closed_if_a_settling_slice_is_handed_over() {
     const MILLISECOND: Time = SECOND / 1_000;
-    let (read, told, transit) = (88 * MILLISECOND, 150 * MILLISECOND, 100 * MILLISECOND);
-    let mut former = Met::new(1, 1);
-    let mut next = Met::new(1, 1);
-    next.news("GRANT", json!({"range": 0, "flag": false}));
-    former.changed(2, &[host("A", "leaving", 0)]);
-    next.changed(2, &[host("A", "leaving", 0)]);
+    let (read, notified, transit) = (88 * MILLISECOND, 150 * MILLISECOND, 100 * MILLISECOND);
+    let mut former = Harness::new(1, 1);
+    let mut next = Harness::new(1, 1);
+    next.notify("GRANT", json!({"range": 0, "flag": false}));
+    former.change_hosts(2, &[host("A", "leaving", 0)]);
+    next.change_hosts(2, &[host("A", "leaving", 0)]);
     let revoke = former.run(SECOND / 2);
-    former.answers(0, mark(&revoke));
+    former.acknowledge(0, mark(&revoke));
     let answered = former.now;
     let granted = former.run(SECOND / 2);
     let moved = former.now + 2 * SECOND;
-    assert!(moved < answered + 5 * SECOND, "it settles until then");
+    assert!(moved < answered + 5 * SECOND, "the slice settles until then");
     let Some(owner) = grants(&granted).first().copied() else { return };
-    next.later(moved + told - next.now);
-    next.given(0, None);
-    next.news("ROW", json!({"range": 0, "target": owner, "rps": 0.5}));
-    let closing = next.poll().expect("the closing");
+    next.advance(moved + notified - next.now);
+    next.assign(0, None);
+    next.notify("ROW", json!({"range": 0, "target": owner, "rps": 0.5}));
+    let closing = next.poll().expect("a level that closes writes");
     assert_eq!(closing[0]["admit"], json!(0.0));
     let (opened, closed) = (moved + read, next.now + transit);
     assert!(closed <= opened, "writes go to {owner} for {} ms", (closed - opened) / MILLISECOND);
--- a/crates/platform/src/session/tests/lists.rs
+++ b/crates/platform/src/session/tests/lists.rs
@@ -1,4 +1,4 @@
-//! Lists of servers, and when each of them counts as cold.
+//! Lists of hosts, and when a host counts as cold.
 
 use super::*;
 
@@ -7,150 +7,150 @@
     let hosts = [host("A", "leaving", 0), host("B", "active", START - 3 * SECOND)];
     let mut settings = settings(1, 1);
     settings["safety"]["cold_s"] = json!(20.0);
-    let mut met = Met::with(&settings, &hosts);
-    met.subscribe(&[0], &[Some("A")]);
-    met.later(5 * SECOND);
-    met.news("ping", json!({}));
-    let revoke = met.poll().expect("the drain");
-    met.answer(2);
-    met.answers(0, mark(&revoke));
-    assert_eq!(met.poll(), None, "it settles");
-    met.later(SETTLE);
-    met.news("ping", json!({}));
-    let grant = met.poll().expect("the grant");
+    let mut harness = Harness::with(&settings, &hosts);
+    harness.subscribe(&[0], &[Some("A")]);
+    harness.advance(5 * SECOND);
+    harness.notify("ping", json!({}));
+    let revoke = harness.poll().expect("a revoke for the drain");
+    harness.answer(2);
+    harness.acknowledge(0, mark(&revoke));
+    assert_eq!(harness.poll(), None, "the slice settles");
+    harness.advance(SETTLE);
+    harness.notify("ping", json!({}));
+    let grant = harness.poll().expect("a grant");
     let level = json!({"verb": "admit", "cluster": 0, "routes": ["lookup", "write"], "admit": 0.0,
         "policy": 0});
-    assert!(grants(&grant) == ["B"] && grant.contains(&level), "held back at first: {grant:?}");
+    assert!(grants(&grant) == ["B"] && grant.contains(&level), "cold at first: {grant:?}");
 }
 
-/// The levels that go with a grant to B, which the list told as just started; by how much its clock differs from here.
-fn grant_to_one_just_started(off: Time, later: Time) -> Vec<Value> {
+/// Returns the changes of a grant to B, which was listed as just started. `offset` is the offset of the list's clock
+/// from ours; `later` is the time from the listing to the grant.
+fn grant_to_one_just_started(offset: Time, later: Time) -> Vec<Value> {
     let mut settings = settings(1, 1);
     settings["safety"]["cold_s"] = json!(20.0);
-    let mut met = Met::with(&settings, &[host("A", "active", 0)]);
-    met.subscribe(&[0], &[Some("A")]);
-    met.run(10 * SECOND);
-    met.changed(2, &[host("B", "active", met.now - SECOND + off)]);
-    met.run(later);
-    met.changed(3, &[host("A", "leaving", 0)]);
-    let revoke = met.poll().expect("the drain");
-    met.answer(2);
-    met.answers(0, mark(&revoke));
-    let grant = met.run_settled();
+    let mut harness = Harness::with(&settings, &[host("A", "active", 0)]);
+    harness.subscribe(&[0], &[Some("A")]);
+    harness.run(10 * SECOND);
+    harness.change_hosts(2, &[host("B", "active", harness.now - SECOND + offset)]);
+    harness.run(later);
+    harness.change_hosts(3, &[host("A", "leaving", 0)]);
+    let revoke = harness.poll().expect("a revoke for the drain");
+    harness.answer(2);
+    harness.acknowledge(0, mark(&revoke));
+    let grant = harness.run_settled();
     assert_eq!(grants(&grant), ["B"]);
     grant
 }
 
 #[test]
-fn a_server_that_has_just_started_is_cold_for_its_time_whatever_the_wall_clocks_say() {
+fn a_server_that_has_just_started_is_cold_for_its_time_despite_clock_offsets() {
     let level =
         json!({"verb": "admit", "cluster": 0, "routes": ["lookup", "write"], "admit": 0.0, "policy": 0});
-    for off in [0, 3_600 * SECOND, -3_600 * SECOND, -30 * SECOND] {
-        let grant = grant_to_one_just_started(off, 0);
-        assert!(grant.contains(&level), "held back at first, {off}: {grant:?}");
-        let grant = grant_to_one_just_started(off, 25 * SECOND);
-        assert!(!grant.contains(&level), "warm after its time, {off}: {grant:?}");
+    for offset in [0, 3_600 * SECOND, -3_600 * SECOND, -30 * SECOND] {
+        let grant = grant_to_one_just_started(offset, 0);
+        assert!(grant.contains(&level), "cold at first, {offset}: {grant:?}");
+        let grant = grant_to_one_just_started(offset, 25 * SECOND);
+        assert!(!grant.contains(&level), "warm after its time, {offset}: {grant:?}");
     }
 }
 
 #[test]
-fn servers_that_started_in_what_the_clock_takes_for_the_future_are_cold_for_their_time_alone() {
+fn servers_with_a_start_in_the_future_are_cold_for_their_time_only() {
     let hosts = [host("A", "leaving", 0), host("B", "active", START + 3_600 * SECOND)];
-    let mut met = Met::started(1, 1, &hosts);
-    met.subscribe(&[0], &[Some("A")]);
-    met.later(12 * SECOND);
-    met.news("ping", json!({}));
-    let revoke = met.poll().expect("the drain");
-    met.answer(2);
-    met.answers(0, mark(&revoke));
-    let grant = met.run_settled();
-    assert_eq!((grants(&grant), verbs(&grant)), (vec!["B"], vec!["share", "mark"]), "warm by now: no level");
+    let mut harness = Harness::started(1, 1, &hosts);
+    harness.subscribe(&[0], &[Some("A")]);
+    harness.advance(12 * SECOND);
+    harness.notify("ping", json!({}));
+    let revoke = harness.poll().expect("a revoke for the drain");
+    harness.answer(2);
+    harness.acknowledge(0, mark(&revoke));
+    let grant = harness.run_settled();
+    assert_eq!(
+        (grants(&grant), verbs(&grant)),
+        (vec!["B"], vec!["share", "mark"]),
+        "warm by now, so without a level"
+    );
 }
 
 #[test]
-fn an_older_or_spoilt_list_changes_nothing() {
-    let mut met = Met::new(1, 1);
-    met.changed(5, &[host("C", "active", 0)]);
-    let older = list(4, true, &[]).to_string();
-    for body in [
-        older.as_str(),
-        "{}",
-        "[",
-        r#"{"generation":7,"reset":false}"#,
-        r#"{"generation":7,"reset":1.5}"#,
-        "",
-    ] {
-        assert!(met.session.handle_list(met.now, body.as_bytes(), false).is_err(), "{body}");
+fn an_older_or_invalid_list_changes_nothing() {
+    let mut harness = Harness::new(1, 1);
+    harness.change_hosts(5, &[host("C", "active", 0)]);
+    let late = list(4, true, &[]).to_string();
+    for body in
+        [late.as_str(), "{}", "[", r#"{"generation":7,"reset":false}"#, r#"{"generation":7,"reset":1.5}"#, ""]
+    {
+        assert!(harness.session.handle_list(harness.now, body.as_bytes(), false).is_err(), "{body}");
     }
-    let figures = met.session.figures();
+    let figures = harness.session.figures();
     assert_eq!((figures.hosts, figures.list_version), (3, Some(5)));
 }
 
 #[test]
-fn an_entry_that_cannot_be_read_costs_its_host_alone_and_the_list_is_asked_for_again() {
-    let mut met = Met::new(1, 1);
-    met.changed(5, &[host("C", "active", 0)]);
-    let hosts = |met: &Met| (met.session.figures().hosts, met.session.figures().list_version);
-    // B is kept as known, A is drained by the same list, C is gone from it.
-    let spoilt = list(6, true, &[host("A", "leaving", 0), json!({"instanceId": "B", "lifecycle": "?"})]);
-    assert!(met.session.handle_list(met.now, spoilt.to_string().as_bytes(), true).is_err());
-    assert_eq!(hosts(&met), (2, Some(5)), "its version is not taken, so that it is asked for again");
-    let revoke = met.poll().expect("the drain");
+fn an_unreadable_entry_affects_only_its_host_and_the_list_is_requested_again() {
+    let mut harness = Harness::new(1, 1);
+    harness.change_hosts(5, &[host("C", "active", 0)]);
+    let hosts = |harness: &Harness| (harness.session.figures().hosts, harness.session.figures().list_version);
+    // B is kept as known, A is drained by this list, C is gone from it.
+    let invalid = list(6, true, &[host("A", "leaving", 0), json!({"instanceId": "B", "lifecycle": "?"})]);
+    assert!(harness.session.handle_list(harness.now, invalid.to_string().as_bytes(), true).is_err());
+    assert_eq!(hosts(&harness), (2, Some(5)), "the version is unchanged, so the list is requested again");
+    let revoke = harness.poll().expect("a revoke for the drain");
     assert_eq!(verbs(&revoke), ["clear", "mark"]);
-    met.answer(2);
-    met.answers(0, mark(&revoke));
-    assert_eq!(grants(&met.run_settled()), ["B"]);
-    // One without a name may be any: none is gone for not being named.
-    let nameless = list(7, true, &[host("B", "active", 0), json!({"lifecycle": "active"})]);
-    assert!(met.session.handle_list(met.now, nameless.to_string().as_bytes(), true).is_err());
-    assert_eq!(hosts(&met), (2, Some(5)));
-    let good = list(7, true, &[host("B", "active", 0)]);
-    assert_eq!(met.session.handle_list(met.now, good.to_string().as_bytes(), true), Ok(7));
-    assert_eq!(hosts(&met), (1, Some(7)));
-    let fault = met.session.handle_list(met.now, list(8, false, &[]).to_string().as_bytes(), true);
-    assert!(fault.is_err(), "changes are no whole list");
+    harness.answer(2);
+    harness.acknowledge(0, mark(&revoke));
+    assert_eq!(grants(&harness.run_settled()), ["B"]);
+    // An entry without a name may be any host, so none is gone by its absence.
+    let unnamed = list(7, true, &[host("B", "active", 0), json!({"lifecycle": "active"})]);
+    assert!(harness.session.handle_list(harness.now, unnamed.to_string().as_bytes(), true).is_err());
+    assert_eq!(hosts(&harness), (2, Some(5)));
+    let valid = list(7, true, &[host("B", "active", 0)]);
+    assert_eq!(harness.session.handle_list(harness.now, valid.to_string().as_bytes(), true), Ok(7));
+    assert_eq!(hosts(&harness), (1, Some(7)));
+    let error = harness.session.handle_list(harness.now, list(8, false, &[]).to_string().as_bytes(), true);
+    assert!(error.is_err(), "changes instead of the whole list");
 }
 
 #[test]
-fn an_older_list_is_refused_as_a_straggler_and_taken_where_it_stays() {
-    let mut met = Met::new(1, 1);
-    met.changed(50, &[host("C", "active", 0)]);
-    let older = list(4, true, &[host("A", "leaving", 0), host("B", "active", 0)]).to_string();
+fn an_older_list_is_refused_as_a_late_reply_and_accepted_if_it_persists() {
+    let mut harness = Harness::new(1, 1);
+    harness.change_hosts(50, &[host("C", "active", 0)]);
+    let late = list(4, true, &[host("A", "leaving", 0), host("B", "active", 0)]).to_string();
     let changes = list(4, false, &[host("B", "left", 0)]).to_string();
-    let mut take = |span: Time, body: &str, whole: bool| {
-        met.later(span);
-        met.session.handle_list(met.now, body.as_bytes(), whole)
+    let mut apply = |span: Time, body: &str, whole: bool| {
+        harness.advance(span);
+        harness.session.handle_list(harness.now, body.as_bytes(), whole)
     };
-    assert!(take(0, &older, true).is_err());
-    assert!(take(5 * SECOND, &older, true).is_err());
+    assert!(apply(0, &late, true).is_err());
+    assert!(apply(5 * SECOND, &late, true).is_err());
     let newer = list(50, true, &[host("A", "active", 0), host("B", "active", 0)]).to_string();
-    assert_eq!(take(SECOND, &newer, true), Ok(50), "it was one");
-    assert!(take(0, &older, true).is_err());
-    assert!(take(6 * SECOND, &changes, false).is_err(), "changes say nothing of the rest");
-    assert_eq!(take(0, &older, true), Ok(4), "discovery has started over");
-    met.news("ping", json!({}));
-    assert_eq!(verbs(&met.poll().expect("the drain")), ["clear", "mark"]);
+    assert_eq!(apply(SECOND, &newer, true), Ok(50), "the older list was a late reply");
+    assert!(apply(0, &late, true).is_err());
+    assert!(apply(6 * SECOND, &changes, false).is_err(), "changes can't replace the whole list");
+    assert_eq!(apply(0, &late, true), Ok(4), "discovery has restarted its versions");
+    harness.notify("ping", json!({}));
+    assert_eq!(verbs(&harness.poll().expect("a revoke for the drain")), ["clear", "mark"]);
 }
 
 #[test]
-fn hosts_that_come_and_go_by_the_thousand_leave_nothing_behind() {
-    let mut met = Met::new(1, 1);
+fn thousands_of_short_lived_hosts_are_forgotten() {
+    let mut harness = Harness::new(1, 1);
     for n in 0..10_000 {
         let (new, old) =
-            (host(&format!("h{n}"), "active", met.now), host(&format!("h{}", n as i64 - 3), "left", 0));
-        met.changed(n + 2, &[new, old]);
+            (host(&format!("h{n}"), "active", harness.now), host(&format!("h{}", n as i64 - 3), "left", 0));
+        harness.change_hosts(n + 2, &[new, old]);
         let report = json!({"msg": "LOAD", "site": "a", "target": format!("h{n}"), "count": 9, "fail": 9, "mean": 0,
             "over": 500.0});
-        met.session.handle_report(met.now, &report).expect("a good report");
-        while let Some(changes) = met.poll() {
-            met.answer(changes.len());
+        harness.session.handle_report(harness.now, &report).expect("a valid report");
+        while let Some(changes) = harness.poll() {
+            harness.answer(changes.len());
         }
-        met.later(SECOND / 10);
-        met.news("ping", json!({}));
+        harness.advance(SECOND / 10);
+        harness.notify("ping", json!({}));
     }
-    let figures = met.session.figures();
+    let figures = harness.session.figures();
     assert_eq!(figures.hosts, 5);
     assert!(figures.hosts_known < 300, "{} are known", figures.hosts_known);
-    assert!(met.session.servers.index("another") < 300, "indices are used again");
-    assert_eq!(met.session.servers.find("h100"), None);
+    assert!(harness.session.servers.index("another") < 300, "indices are reused");
+    assert_eq!(harness.session.servers.find("h100"), None);
 }
--- a/crates/platform/src/session/tests/reports.rs
+++ b/crates/platform/src/session/tests/reports.rs
@@ -1,36 +1,40 @@
-//! Reports by the settings' names, and input of any kind.
+//! Reports with the names of the settings, and arbitrary input.
 
 use super::*;
 
 #[test]
-fn reports_and_levels_bear_the_names_of_the_settings() {
+fn reports_and_levels_use_the_names_of_the_settings() {
     let mut named = settings(1, 1);
     named["classes"] = json!([{"name": "saldo, visão"}, {"name": "crédito já"}, {"name": "crédito_já"}]);
     named["family_info"]["mutating"] = json!([false, true, false]);
     named["azs"] = json!(["São Luís", "belém, doca 2"]);
     let known = list(1, true, &[host("A", "active", 0), host("B", "active", 0)]);
-    let session = Session::new(START, 7, &named, &known).expect("good settings");
+    let session = Session::new(START, 7, &named, &known).expect("valid settings");
     assert_eq!(session.zones(), ["São Luís", "belém, doca 2"]);
-    let mut met = Met { session, now: START, call: None, live: false };
-    met.subscribe(&[0], &[Some("A")]);
+    let mut harness = Harness { session, now: START, call: None, live: false };
+    harness.subscribe(&[0], &[Some("A")]);
     for name in ["saldo, visão", "crédito já", "crédito_já"] {
         let mut report = shard();
         report["lane"] = json!(name);
-        assert_eq!(met.session.handle_report(met.now, &report), Ok(()), "{name}");
+        assert_eq!(harness.session.handle_report(harness.now, &report), Ok(()), "{name}");
     }
-    met.run(10 * SECOND);
-    // A is late with all that is asked of it, which is of one class.
+    harness.run(10 * SECOND);
+    // A answers all its reqs late; they are of one class.
     let late = json!({"msg": "LOAD", "site": "São Luís", "target": "A", "count": 100, "fail": 0, "mean": 5000.0, "over": 500.0});
-    let asked =
+    let demand =
         json!({"msg": "SHARD", "range": 0, "lane": "crédito já", "count": 200, "fail": 0, "over": 500.0});
     let mut orders = Vec::new();
     for _ in 0..12 {
-        met.session.handle_report(met.now, &late).expect("a good report");
-        met.session.handle_report(met.now, &asked).expect("a good report");
-        orders.extend(met.run(SECOND / 2));
+        harness.session.handle_report(harness.now, &late).expect("a valid report");
+        harness.session.handle_report(harness.now, &demand).expect("a valid report");
+        orders.extend(harness.run(SECOND / 2));
     }
     let level = orders.iter().find(|order| order["verb"] == "admit").expect("a level");
-    assert_eq!((&level["cluster"], &level["routes"]), (&json!(0), &json!(["crédito já"])), "by its name");
+    assert_eq!(
+        (&level["cluster"], &level["routes"]),
+        (&json!(0), &json!(["crédito já"])),
+        "the class by its name"
+    );
     assert!(level["admit"].as_f64().is_some_and(|share| share < 1.0), "{level}");
 }
 
@@ -44,32 +48,32 @@
 }
 
 #[test]
-fn each_field_of_a_report_that_is_missing_or_wrong_costs_that_report_alone() {
-    let mut met = Met::new(1, 1);
+fn a_missing_or_invalid_field_drops_only_its_report() {
+    let mut harness = Harness::new(1, 1);
     let bad =
         [Value::Null, json!(-1), json!("1"), json!([]), json!(1e300), json!("no such name"), json!(true)];
-    for good in [load(), shard()] {
-        assert_eq!(met.session.handle_report(met.now, &good), Ok(()));
-        for field in good.as_object().expect("an object").keys() {
+    for valid in [load(), shard()] {
+        assert_eq!(harness.session.handle_report(harness.now, &valid), Ok(()));
+        for field in valid.as_object().expect("an object").keys() {
             for value in &bad {
-                let mut spoilt = good.clone();
-                spoilt[field] = value.clone();
+                let mut invalid = valid.clone();
+                invalid[field] = value.clone();
                 let absent = field == "util" && value.is_null();
-                let done = met.session.handle_report(met.now, &spoilt);
-                assert_eq!(done.is_ok(), absent, "{spoilt}");
+                let done = harness.session.handle_report(harness.now, &invalid);
+                assert_eq!(done.is_ok(), absent, "{invalid}");
             }
         }
     }
     for util in [json!({"cpu_share": -0.1}), json!({"cpu_share": "x"}), json!({"cpu_share": 61.0})] {
-        let mut spoilt = load();
-        spoilt["util"] = util;
-        assert!(met.session.handle_report(met.now, &spoilt).is_err(), "{spoilt}");
+        let mut invalid = load();
+        invalid["util"] = util;
+        assert!(harness.session.handle_report(harness.now, &invalid).is_err(), "{invalid}");
     }
-    let spoilt = met.session.figures().spoilt;
-    assert_eq!(spoilt, (8 + 6) * bad.len() as u64 - 1 + 3);
+    let invalid = harness.session.figures().spoilt;
+    assert_eq!(invalid, (8 + 6) * bad.len() as u64 - 1 + 3);
 }
 
-fn anything() -> impl Strategy<Value = Value> {
+fn any_json() -> impl Strategy<Value = Value> {
     let leaf = prop_oneof![
         Just(Value::Null),
         any::<bool>().prop_map(Value::from),
@@ -90,30 +94,30 @@
 proptest! {
     #[test]
     fn no_input_panics(
-        fields in prop::collection::vec((0usize..16, anything()), 0..8),
+        fields in prop::collection::vec((0usize..16, any_json()), 0..8),
         methods in prop::collection::vec(0usize..7, 1..20),
         bytes in prop::collection::vec(any::<u8>(), 0..64),
     ) {
         const NAMES: [&str; 16] = ["msg", "site", "target", "count", "fail", "mean", "over", "util", "range", "lane",
             "id", "seq", "flag", "rps", "generation", "instances"];
         const METHODS: [&str; 7] = ["SUBSCRIBE", "CLOSED", "ACK", "GRANT", "ROW", "ping", "other"];
-        let mut met = Met::new(2, 2);
+        let mut harness = Harness::new(2, 2);
         let mut message = load();
         message.as_object_mut().expect("an object").extend(shard().as_object().expect("an object").clone());
         fields.into_iter().for_each(|(name, value)| message[NAMES[name]] = value);
         for method in methods {
             message["msg"] = if method % 2 == 0 { "LOAD".into() } else { message["msg"].clone() };
-            let _ = met.session.handle_report(met.now, &message);
+            let _ = harness.session.handle_report(harness.now, &message);
             let news = json!({"method": METHODS[method], "params": message});
-            let _ = met.session.handle_news(met.now, news.to_string().as_bytes());
-            let _ = met.session.handle_news(met.now, &bytes);
-            let _ = met.session.handle_list(met.now, message.to_string().as_bytes(), false);
-            let _ = met.session.handle_list(met.now, &bytes, true);
-            let _ = crate::frames::decode(&bytes, true, met.session.zones());
-            let _ = met.poll();
-            met.session.handle_answer(met.now, &bytes);
-            met.session.handle_answer(met.now, json!({"id": 1, "result": message}).to_string().as_bytes());
-            met.later(SECOND / 3);
+            let _ = harness.session.handle_news(harness.now, news.to_string().as_bytes());
+            let _ = harness.session.handle_news(harness.now, &bytes);
+            let _ = harness.session.handle_list(harness.now, message.to_string().as_bytes(), false);
+            let _ = harness.session.handle_list(harness.now, &bytes, true);
+            let _ = crate::frames::decode(&bytes, true, harness.session.zones());
+            let _ = harness.poll();
+            harness.session.handle_answer(harness.now, &bytes);
+            harness.session.handle_answer(harness.now, json!({"id": 1, "result": message}).to_string().as_bytes());
+            harness.advance(SECOND / 3);
         }
     }
 }
--- a/crates/platform/src/settings/tests.rs
+++ b/crates/platform/src/settings/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn nested_settings_become_the_paths_of_the_simulators_first_message() {
+fn nested_settings_are_flattened_to_the_simulators_paths() {
     let nested = serde_json::json!({
         "family_info": {"ranges": 110, "mutating": [false, true], "write_lease_s": 4.0},
         "classes": [{"name": "quote x"}, {"name": "commit", "aim_s": 3.0}],
@@ -25,7 +25,7 @@
     assert_eq!(flat.text("absent"), None);
 }
 
-fn good() -> Value {
+fn valid() -> Value {
     json!({
         "azs": ["São Luís", "belém, doca 2", "belém__doca_2"],
         "classes": [{"name": "crédito já"}, {"name": "crédito_já", "worth": 2}, {"name": "7", "aim_s": null}],
@@ -34,14 +34,14 @@
 }
 
 #[test]
-fn names_are_told_apart_as_the_settings_have_them() {
-    let names = names(&good()).expect("good settings");
+fn names_that_flatten_alike_stay_distinct() {
+    let names = names(&valid()).expect("valid settings");
     assert_eq!(names.classes, ["crédito já", "crédito_já", "7"]);
     assert_eq!(names.zones, ["São Luís", "belém, doca 2", "belém__doca_2"]);
 }
 
 #[test]
-fn what_is_absent_is_a_default_and_what_the_decisions_would_misread_is_named() {
+fn absent_settings_are_accepted_and_errors_name_invalid_ones() {
     for (path, value) in [
         ("/azs", json!("a,b")),
         ("/azs", json!(["a", 7])),
@@ -60,11 +60,11 @@
         ("/family_info/ranges", json!(-4)),
         ("/family_info/single_writer", json!("true")),
     ] {
-        let mut settings = good();
+        let mut settings = valid();
         *settings.pointer_mut(path).expect("the setting is there") = value.clone();
-        let fault = names(&settings).expect_err(&format!("{path}: {value}"));
+        let error = names(&settings).expect_err(&format!("{path}: {value}"));
         let start = format!("settings.{}", path[1..].replace('/', "."));
-        assert!(fault.starts_with(&start) && fault.contains("expected"), "{path}: {fault}");
+        assert!(error.starts_with(&start) && error.contains("expected"), "{path}: {error}");
         *settings.pointer_mut(path).expect("the setting is there") = Value::Null;
         let named = path.ends_with("/name");
         assert_eq!(names(&settings).is_ok(), !named && path != "/classes", "{path}: null");
