--- a/crates/platform/src/frames.rs
+++ b/crates/platform/src/frames.rs
@@ -3,7 +3,7 @@
 use serde_json::Value;
 use tokio_util::codec::LengthDelimitedCodec;
 
-use crate::fields::{self, Fault};
+use crate::fields::{self, DecodeError};
 
 /// The longest frame accepted from a peer that has joined.
 pub const MOST_FRAME: usize = 1 << 20;
@@ -15,8 +15,12 @@
 pub const PONG: &[u8] = br#"{"msg":"PONG"}"#;
 pub const NACK: &[u8] = br#"{"msg":"NACK"}"#;
 
-pub fn codec(most: usize) -> LengthDelimitedCodec {
-    LengthDelimitedCodec::builder().little_endian().length_field_length(4).max_frame_length(most).new_codec()
+pub fn codec(max_frame_len: usize) -> LengthDelimitedCodec {
+    LengthDelimitedCodec::builder()
+        .little_endian()
+        .length_field_length(4)
+        .max_frame_length(max_frame_len)
+        .new_codec()
 }
 
 /// A decoded frame.
@@ -30,7 +34,7 @@
 }
 
 /// Decodes one frame. After an error the connection must be closed.
-pub fn decode(frame: &[u8], joined: bool, zones: &[String]) -> Result<Message, Fault> {
+pub fn decode(frame: &[u8], joined: bool, zones: &[String]) -> Result<Message, DecodeError> {
     let message: Value = serde_json::from_slice(frame).unwrap_or_default();
     if !message.is_object() {
         return fields::invalid("msg", "a JSON object");
@@ -41,7 +45,7 @@
         Some("SOURCE") => {
             let site = fields::text(&message, "site")?;
             let zone = zones.iter().position(|zone| zone == site);
-            zone.map(Message::Source).ok_or(Fault { field: "site", expected: "a zone of the settings" })
+            zone.map(Message::Source).ok_or(DecodeError { field: "site", expected: "a zone of the settings" })
         }
         _ => fields::invalid("msg", "PING or SOURCE before all else"),
     }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -17,9 +17,9 @@
 
 pub use config::{Addresses, Config};
 pub use drains::PendingRevokes;
-pub use fields::Fault;
+pub use fields::DecodeError;
 pub use frames::{codec, decode, Message, MOST_FRAME, MOST_GREETING, NACK, PONG};
 pub use hold::{Held, Hold};
 pub use notification::SUBSCRIBE;
 pub use ravenspar_steward::{Time, SECOND};
-pub use session::{Call, Figures, Session, SILENCE};
+pub use session::{Call, Metrics, Session, SILENCE};
--- a/crates/platform/src/notification.rs
+++ b/crates/platform/src/notification.rs
@@ -3,7 +3,7 @@
 use ravenspar_steward::Time;
 use serde_json::Value;
 
-use crate::fields::{self, Fault};
+use crate::fields::{self, DecodeError};
 
 /// The request that subscribes to the store's notifications.
 pub const SUBSCRIBE: &[u8] = br#"{"jsonrpc":"2.0","id":1,"method":"subscribe"}"#;
@@ -56,7 +56,7 @@
 
 impl Notification {
     /// Decodes one line. Fails if a field is missing or out of range.
-    pub fn read(line: &[u8], sizes: Sizes) -> Result<Notification, Fault> {
+    pub fn read(line: &[u8], sizes: Sizes) -> Result<Notification, DecodeError> {
         let notification: Value = serde_json::from_slice(line).unwrap_or_default();
         let params = &notification["params"];
         let proxy = || fields::integer(params, "id", sizes.proxies);
--- a/crates/platform/src/servers.rs
+++ b/crates/platform/src/servers.rs
@@ -5,7 +5,7 @@
 use ravenspar_steward::{Health, IdTable, Scope, Steward, Time, SECOND};
 use serde_json::Value;
 
-use crate::fields::{self, Fault};
+use crate::fields::{self, DecodeError};
 
 /// The number of gone hosts that keep their index, as a slice that is handed back may name a host that left moments
 /// ago. Several times the largest fleet seen; takes some hundred kilobytes.
@@ -77,9 +77,9 @@
         list: &Value,
         scope: Scope,
         steward: &mut Steward,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), DecodeError> {
         let entries = list["instances"].as_array();
-        let entries = entries.ok_or(Fault { field: "instances", expected: "a list" })?;
+        let entries = entries.ok_or(DecodeError { field: "instances", expected: "a list" })?;
         let mut first_error = Ok(());
         let mut kept = Vec::new();
         let mut read = Vec::new();
@@ -165,7 +165,7 @@
     }
 }
 
-fn entry(entry: &Value) -> Result<(&str, Health, Time), Fault> {
+fn entry(entry: &Value) -> Result<(&str, Health, Time), DecodeError> {
     let health = match fields::text(entry, "lifecycle")? {
         "active" => Health::Ready,
         "leaving" => Health::Draining,
--- a/crates/platform/src/session.rs
+++ b/crates/platform/src/session.rs
@@ -37,7 +37,7 @@
 
 /// Metrics for operators.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Figures {
+pub struct Metrics {
     pub joined: usize,
     pub slices: usize,
     pub unsettled: usize,
@@ -82,7 +82,7 @@
     line_pending_since: Option<Time>,
     /// Since when every received list was older than the current one.
     outdated_lists_since: Option<Time>,
-    figures: Figures,
+    figures: Metrics,
     holds: HoldClock,
     drains: Drains,
 }
@@ -124,7 +124,7 @@
             last_live_notification: None,
             line_pending_since: None,
             outdated_lists_since: None,
-            figures: Figures::default(),
+            figures: Metrics::default(),
             holds: HoldClock::default(),
             drains: Drains::new(slices, grace),
         })
@@ -135,8 +135,8 @@
         &self.names.zones
     }
 
-    pub fn figures(&self) -> Figures {
-        Figures {
+    pub fn figures(&self) -> Metrics {
+        Metrics {
             joined: self.proxies.iter().filter(|joined| **joined).count(),
             slices: self.slices.iter().filter(|slice| slice.is_assigned()).count(),
             unsettled: self.calls.unsettled(),
--- a/crates/platform/src/session/notifications.rs
+++ b/crates/platform/src/session/notifications.rs
@@ -6,7 +6,7 @@
 use ravenspar_steward::{Time, SECOND};
 
 use super::Session;
-use crate::fields::{self, Fault};
+use crate::fields::{self, DecodeError};
 use crate::notification::{Notification, Sizes, HEARTBEAT_TIMEOUT};
 use crate::slices::{line_of, Assignment, Comparison, Crossing, Line};
 use crate::subscription::{SliceSnapshot, Snapshot, Subscription};
@@ -16,7 +16,7 @@
 
 impl Session {
     /// Handles a notification of the store. On an error it has no effect, and the caller must subscribe again.
-    pub fn handle_news(&mut self, now: Time, message: &[u8]) -> Result<(), Fault> {
+    pub fn handle_news(&mut self, now: Time, message: &[u8]) -> Result<(), DecodeError> {
         let sizes = Sizes { proxies: self.proxies.len(), slices: self.slices.len() };
         let notification = Notification::read(message, sizes)?;
         if !matches!(notification, Notification::Heartbeat | Notification::Subscribed)
--- a/crates/platform/src/session/reports.rs
+++ b/crates/platform/src/session/reports.rs
@@ -4,17 +4,17 @@
 use serde_json::Value;
 
 use super::Session;
-use crate::fields::{self, Fault};
+use crate::fields::{self, DecodeError};
 
 impl Session {
     /// Applies a collector's report. An unusable one is counted and dropped.
-    pub fn handle_report(&mut self, now: Time, report: &Value) -> Result<(), Fault> {
+    pub fn handle_report(&mut self, now: Time, report: &Value) -> Result<(), DecodeError> {
         let done = self.report(now, report);
         self.figures.spoilt += u64::from(done.is_err());
         done
     }
 
-    fn report(&mut self, now: Time, report: &Value) -> Result<(), Fault> {
+    fn report(&mut self, now: Time, report: &Value) -> Result<(), DecodeError> {
         match fields::text(report, "msg")? {
             "LOAD" => {
                 let site = fields::text(report, "site")?;
@@ -22,7 +22,8 @@
                     return fields::invalid("site", "a zone of the settings");
                 }
                 let target = self.servers.find(fields::text(report, "target")?);
-                let server = target.ok_or(Fault { field: "target", expected: "a host that is known" })?;
+                let server =
+                    target.ok_or(DecodeError { field: "target", expected: "a host that is known" })?;
                 let (count, failed) = (fields::number(report, "count")?, fields::number(report, "fail")?);
                 if failed > count {
                     return fields::invalid("fail", "no more than count");
@@ -35,7 +36,7 @@
                 let slice = fields::integer(report, "range", self.slices.len())?;
                 let lane = fields::text(report, "lane")?;
                 let kind = self.names.classes.iter().position(|name| name == lane);
-                let kind = kind.ok_or(Fault { field: "lane", expected: "a request kind" })?;
+                let kind = kind.ok_or(DecodeError { field: "lane", expected: "a request kind" })?;
                 // Failures are checked for their type only: they may have come before this report's period.
                 fields::number(report, "fail")?;
                 let (count, over) = (fields::number(report, "count")?, fields::duration(report, "over")?);
@@ -50,7 +51,7 @@
 }
 
 /// Returns the CPU share of a host from its load report, whose fields are named by the settings.
-fn busy(load: &Value) -> Result<Option<f64>, Fault> {
+fn busy(load: &Value) -> Result<Option<f64>, DecodeError> {
     // A fraction; noise may push it above 1, but not this far.
     const MAX_CPU_SHARE: f64 = 2.0;
     match load {
