--- a/crates/platform/src/calls.rs
+++ b/crates/platform/src/calls.rs
@@ -19,6 +19,7 @@
 /// second.
 const RETRY_DELAY: Time = SECOND / 10;
 
+/// An order in the queue, with its encoded text.
 #[derive(Clone, Debug)]
 struct QueuedOrder {
     order: Order,
@@ -123,14 +124,18 @@
     pub number: u16,
 }
 
+/// The queue of calls, of which at most one is in flight.
 #[derive(Debug, Default)]
 pub struct Calls {
     /// Queued calls; the first may be in flight.
     waiting: VecDeque<Vec<QueuedOrder>>,
+    /// The id of the call in flight.
     in_flight: Option<u64>,
+    /// The id of the last call written.
     last_id: u64,
     /// Failed attempts of the first call.
     failed_attempts: u32,
+    /// The earliest time of the next attempt.
     retry_at: Time,
     /// Marks that attempts of the first call ended with; its other orders were the same each time.
     marks: Vec<u16>,
@@ -142,6 +147,7 @@
     sent_before_gap: bool,
 }
 
+/// Returns the slice that an order is for, if it is for a single one.
 pub fn slice_of(order: &Order) -> Option<usize> {
     match order {
         Order::SetLine { slice, .. } | Order::DropLines { slice } => Some(*slice),
@@ -395,6 +401,7 @@
         call.into_iter().filter(|item| !item.dropped).map(|item| item.order).collect()
     }
 
+    /// Handles the answer to the call in flight.
     pub fn answered(&mut self, now: Time, line: &[u8]) -> AnswerOutcome {
         let answer: Value = serde_json::from_slice(line).unwrap_or_default();
         let (Some(id), Some(call)) = (self.in_flight, self.waiting.front_mut()) else {
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -11,6 +11,7 @@
     pub relay: SocketAddr,
 }
 
+/// The configuration of a steward on the platform.
 #[derive(Clone, Debug)]
 pub struct Config {
     pub name: String,
--- a/crates/platform/src/drains.rs
+++ b/crates/platform/src/drains.rs
@@ -34,6 +34,7 @@
         self.warned &= self.owed(now).slices > 0;
     }
 
+    /// Returns the revokes that are pending now.
     pub fn owed(&self, now: Time) -> PendingRevokes {
         let owed = || self.since.iter().flatten();
         PendingRevokes { slices: owed().count(), oldest: owed().min().map_or(0, |since| now - since) }
--- a/crates/platform/src/fields.rs
+++ b/crates/platform/src/fields.rs
@@ -18,6 +18,7 @@
     }
 }
 
+/// Returns the error for a field that is not as expected.
 pub fn invalid<T>(field: &'static str, expected: &'static str) -> Result<T, DecodeError> {
     Err(DecodeError { field, expected })
 }
@@ -25,6 +26,7 @@
 /// Upper bound of counts and times in a report. As milliseconds it is more than a hundred days.
 const MAX_NUMBER: f64 = 1e10;
 
+/// Reads a string.
 pub fn text<'a>(message: &'a Value, field: &'static str) -> Result<&'a str, DecodeError> {
     message[field].as_str().ok_or(DecodeError { field, expected: "a text" })
 }
@@ -45,6 +47,7 @@
     }
 }
 
+/// Reads a boolean, which may also be written as 0 or 1.
 pub fn flag(message: &Value, field: &'static str) -> Result<bool, DecodeError> {
     match &message[field] {
         Value::Bool(flag) => Ok(*flag),
--- a/crates/platform/src/frames.rs
+++ b/crates/platform/src/frames.rs
@@ -12,9 +12,12 @@
 /// Limits the memory that hundreds of unidentified peers can hold with half-sent frames.
 pub const MOST_GREETING: usize = 1_024;
 
+/// The answer to a PING.
 pub const PONG: &[u8] = br#"{"msg":"PONG"}"#;
+/// Sent to a peer before its connection is closed as unusable.
 pub const NACK: &[u8] = br#"{"msg":"NACK"}"#;
 
+/// Returns the codec of frames with a given maximum length.
 pub fn codec(max_frame_len: usize) -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
         .little_endian()
--- a/crates/platform/src/servers.rs
+++ b/crates/platform/src/servers.rs
@@ -24,6 +24,7 @@
     started: Time,
 }
 
+/// The hosts known from lists and lines, by index.
 #[derive(Debug, Default)]
 pub struct Servers {
     index: IdTable<String>,
@@ -36,10 +37,12 @@
 }
 
 impl Servers {
+    /// Returns the index of a known host.
     pub fn find(&self, id: &str) -> Option<usize> {
         self.index.find(&id.to_owned())
     }
 
+    /// Returns the index of a host, which is assigned if the host is new.
     pub fn index(&mut self, id: &str) -> usize {
         let server = self.index.index(&id.to_owned());
         self.listed.resize(self.listed.len().max(server + 1), false);
@@ -55,6 +58,7 @@
         server
     }
 
+    /// Returns the name of a host, or an empty string if the index is not in use.
     pub fn id(&self, server: usize) -> &str {
         self.index.id(server).map_or("", String::as_str)
     }
@@ -64,6 +68,7 @@
         (0..self.listed.len()).filter(|&server| self.index.id(server).is_some()).count()
     }
 
+    /// The number of hosts on the list.
     pub fn listed_count(&self) -> usize {
         self.listed.iter().filter(|listed| **listed).count()
     }
--- a/crates/platform/src/session.rs
+++ b/crates/platform/src/session.rs
@@ -56,6 +56,7 @@
     pub waiting: Waiting,
 }
 
+/// Translates between the messages of the platform and the decisions of one steward.
 pub struct Session {
     steward: Steward,
     servers: Servers,
@@ -67,6 +68,7 @@
     calls: Calls,
     /// The connection for calls is unusable.
     anew: bool,
+    /// When the decisions asked to be reminded.
     wake_at: Option<Time>,
     /// When to retry restrictions that were due and not yet sent.
     retry_at: Option<Time>,
@@ -135,6 +137,7 @@
         &self.names.zones
     }
 
+    /// Returns the current metrics.
     pub fn figures(&self) -> Metrics {
         Metrics {
             joined: self.proxies.iter().filter(|joined| **joined).count(),
--- a/crates/platform/src/slices.rs
+++ b/crates/platform/src/slices.rs
@@ -38,6 +38,7 @@
 /// the two.
 const HEARTBEATS_WITHOUT_LINE: u8 = 2;
 
+/// The known state of a slice, and the orders written for it.
 #[derive(Clone, Debug)]
 pub struct Slice {
     pub assignment: Assignment,
@@ -70,6 +71,7 @@
 }
 
 impl Slice {
+    /// Returns true if it is assigned to this steward.
     pub fn is_assigned(&self) -> bool {
         self.assignment != Assignment::Unassigned
     }
--- a/crates/platform/src/subscription.rs
+++ b/crates/platform/src/subscription.rs
@@ -49,6 +49,7 @@
         }
     }
 
+    /// Returns true if the snapshot is complete and the subscription is not lost.
     pub fn is_live(&self) -> bool {
         matches!(self, Subscription::Live)
     }
