--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,27 +1,28 @@
-//! The file that tells a steward all it has to know.
+//! The configuration file of a steward on the platform.
 
 use std::net::SocketAddr;
 
 use serde_json::Value;
 
-/// What may change while the steward runs.
+/// Addresses that may change while the steward runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Addresses {
     pub discovery: SocketAddr,
     pub relay: SocketAddr,
 }
 
+/// The configuration of a steward on the platform.
 #[derive(Clone, Debug)]
 pub struct Config {
     pub name: String,
     pub listen: SocketAddr,
     pub addresses: Addresses,
     pub seed: u64,
-    /// Descriptors that the process may hold.
+    /// The number of file descriptors that the process may open.
     pub sockets: usize,
-    /// The list as last held, in discovery's form.
+    /// The last known list of hosts, in discovery's format.
     pub known: Value,
-    /// As they are in the simulator's first message, but nested.
+    /// The same settings as in the simulator's first message, but nested.
     pub settings: Value,
 }
 
@@ -38,7 +39,7 @@
 }
 
 impl Config {
-    /// Fails with what was expected where.
+    /// Parses the configuration. The error names the field and what was expected.
     pub fn read(bytes: &[u8]) -> Result<Config, String> {
         let mut config: Value =
             serde_json::from_slice(bytes).map_err(|e| format!("expected a JSON object: {e}"))?;
@@ -67,7 +68,7 @@
         })
     }
 
-    /// The addresses alone, of a file that was replaced while the steward runs.
+    /// Parses only the addresses, from a file that was replaced while the steward runs.
     pub fn read_addresses(bytes: &[u8]) -> Result<Addresses, String> {
         let config: Value =
             serde_json::from_slice(bytes).map_err(|e| format!("expected a JSON object: {e}"))?;
@@ -79,7 +80,7 @@
 mod tests {
     use super::*;
 
-    fn good() -> Value {
+    fn valid_config() -> Value {
         serde_json::json!({
             "name": "n3", "listen": "127.0.0.4:8443", "discovery": "127.0.0.1:8500", "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256}, "relay": {"address": "127.0.0.2:6400"},
@@ -88,15 +89,15 @@
     }
 
     #[test]
-    fn a_good_file_is_read_whole() {
-        let config = Config::read(good().to_string().as_bytes()).expect("it is good");
+    fn a_valid_file_is_parsed() {
+        let config = Config::read(valid_config().to_string().as_bytes()).expect("a valid file");
         assert_eq!((config.seed, config.sockets), (0x8c1f_30d2_7a5b_e964, 256));
         assert_eq!(config.addresses.relay.port(), 6400);
         assert_eq!(config.known["generation"], 41);
     }
 
     #[test]
-    fn what_is_missing_or_wrong_is_named() {
+    fn errors_name_the_missing_or_invalid_field() {
         for (path, value) in [
             ("/name", Value::Null),
             ("/listen", "here".into()),
@@ -106,11 +107,11 @@
             ("/settings", Value::Null),
             ("/limits/sockets", (-1).into()),
         ] {
-            let mut config = good();
-            *config.pointer_mut(path).expect("the field is there") = value;
-            let fault = Config::read(config.to_string().as_bytes()).expect_err(path);
+            let mut config = valid_config();
+            *config.pointer_mut(path).expect("an existing field") = value;
+            let error = Config::read(config.to_string().as_bytes()).expect_err(path);
             let name = path[1..].replace('/', ".");
-            assert!(fault.starts_with(&name) && fault.contains("expected"), "{path}: {fault}");
+            assert!(error.starts_with(&name) && error.contains("expected"), "{path}: {error}");
         }
         assert!(Config::read(b"{").is_err() && Config::read(b"[]").is_err() && Config::read(b"").is_err());
     }
