--- a/crates/host/src/host.rs
+++ b/crates/host/src/host.rs
@@ -1,4 +1,4 @@
-//! The host: inputs update what is known, `poll` pulls what is to be carried out.
+//! The host: inputs update its state, `poll` returns the resulting actions.
 
 mod messages;
 mod streams;
@@ -13,28 +13,29 @@
 use crate::limits::Limits;
 use crate::proxy::{Proxy, Stream, NEVER};
 use crate::servers::{Server, Servers};
-use crate::sums::Sums;
 use crate::table::{Change, Table};
+use crate::totals::Totals;
 use crate::Output;
 
-/// Figures of the moment and counts since the start.
+/// Gauges, and counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct Metrics {
     pub joined: usize,
-    /// Lines in the channel, heads included, now and at most so far.
+    /// Lines waiting in the channel, message overhead included; `most_waiting` is the peak so far.
     pub waiting: u64,
     pub most_waiting: u64,
     pub updates: u64,
     pub messages: u64,
-    /// How often a proxy's message had to wait for its window.
+    /// Number of times that a proxy's message was delayed by its window.
     pub holds: u64,
-    /// Answers to epochs that were not due.
+    /// Answers to epochs or ends that no answer was expected to.
     pub stray_answers: u64,
-    /// Streams that the host broke off.
+    /// Streams that the host closed.
     pub broken: u64,
     pub reports_waiting: usize,
 }
 
+/// The host core of one steward; see the crate's documentation for how it is driven.
 pub struct Host {
     pub(crate) steward: Steward,
     pub(crate) limits: Limits,
@@ -46,31 +47,32 @@
     proxies: Vec<Proxy>,
     streams: BTreeMap<u64, Stream>,
     joined: usize,
-    /// Proxies that are joined or join: those that the log keeps updates for.
-    pub(crate) following: u64,
-    /// When each stream may have been silent for too long; each open stream stands here once.
+    /// Number of proxies that are joined or joining: the log keeps updates for these.
+    pub(crate) followers: u64,
+    /// When to check each stream for a timeout; each open stream has one entry.
     deadlines: BinaryHeap<Reverse<(Time, u64)>>,
-    /// When answers kept back count.
-    releases: BinaryHeap<Reverse<(Time, usize)>>,
-    sums: Sums,
+    /// When deferred answers start to count.
+    deferred_answers: BinaryHeap<Reverse<(Time, usize)>>,
+    totals: Totals,
     cycle_at: Time,
-    /// When the decisions want to be called. All of them: one that an update met by itself must not swallow the next.
+    /// Times at which the steward asked to be called. All are kept: a reminder whose time an update happens to meet must
+    /// not replace the next one.
     reminders: BTreeSet<Time>,
-    /// Something was learnt that decisions may come of.
-    pub(crate) notified: bool,
+    /// There was input that may lead to decisions.
+    pub(crate) decision_due: bool,
     update_at: Time,
     epoch: u64,
-    /// The term under which this steward owns each slice; 0: it does not.
+    /// The term under which each slice is assigned to this steward; 0 if it is not.
     pub(crate) terms: Vec<u64>,
-    /// Until when the steward before may have echoed proxies that hold each slice.
+    /// Per slice: until when the previous steward may have echoed proxies.
     pub(crate) taken_over: Vec<Time>,
-    /// Answers count from here on: a slice that was revoked had been taken over shortly before.
-    clear: Time,
-    /// The end of the update with the last slices that were left: who has not applied it is not echoed.
-    pub(crate) left: u64,
-    /// Updates with routes to record, by ticket, and those behind them that wait for the same.
+    /// Answers before this time are deferred: a slice was revoked shortly after it had been taken over.
+    answers_count_from: Time,
+    /// The end of the update that last gave up slices: a proxy that has not applied it is not echoed.
+    pub(crate) release_end: u64,
+    /// Updates that are not durable yet: ticket, and whether it still waits for its own routes to be recorded.
     pub(crate) unrecorded: VecDeque<(u64, bool)>,
-    out: VecDeque<Output>,
+    outputs: VecDeque<Output>,
     pub(crate) updates: u64,
     messages: u64,
     stray_answers: u64,
@@ -78,8 +80,9 @@
 }
 
 impl Host {
-    /// A steward that starts under a new term, with the list last seen and the slices as they stand on record
-    /// (slice, owner, weight). Fails with the name of a setting that it can't do without.
+    /// Creates the host of a steward that all slices are assigned to, which starts under a new term with the last known
+    /// server list and the recorded routes (slice, owner, weight). Returns the name of the setting that is missing or
+    /// invalid as the error.
     pub fn new(
         now: Time,
         seed: u64,
@@ -98,13 +101,13 @@
             host.table.apply(&Change::Route { slice: *slice, server, weight: *weight });
         }
         if term > 1 {
-            // A proxy's earlier life may hold a lease of the steward before this one, unless there was none.
-            host.clear = now + host.limits.lease;
+            // An earlier incarnation of a proxy may hold a lease of the previous steward, unless there was none.
+            host.answers_count_from = now + host.limits.lease;
         }
         Ok(host)
     }
 
-    /// A steward among others that owns no slice yet; see [`Host::charged`].
+    /// Creates the host of a steward in a fleet, with no slices assigned yet; see [`Host::charged`].
     pub fn sharing(
         now: Time,
         seed: u64,
@@ -115,11 +118,11 @@
         let limits = Limits::new(&cfg)?;
         let mut steward = Steward::new(now, seed, cfg)?;
         let mut servers = Servers::default();
-        // The list first: it tells which start of a server the record speaks of.
+        // The list comes first: it defines which start of a server the record refers to.
         steward.list_begin(Scope::Kept);
         for (server, health, boot) in list {
             let server = servers.learn(&server.id, &server.zone, &server.address);
-            servers.list(server, *health, *boot);
+            servers.set_listed(server, *health, *boot);
             steward.list_entry(server, *health, *boot);
         }
         steward.list_end(Scope::Kept);
@@ -133,21 +136,21 @@
             proxies: vec![Proxy::new(); limits.proxies],
             streams: BTreeMap::new(),
             joined: 0,
-            following: 0,
+            followers: 0,
             deadlines: BinaryHeap::new(),
-            releases: BinaryHeap::new(),
-            sums: Sums::default(),
+            deferred_answers: BinaryHeap::new(),
+            totals: Totals::default(),
             cycle_at: now + limits.cycle,
             reminders: BTreeSet::new(),
-            notified: true,
+            decision_due: true,
             update_at: now,
             epoch: 0,
             terms: vec![0; limits.slices],
             taken_over: vec![NEVER; limits.slices],
-            clear: NEVER,
-            left: 0,
+            answers_count_from: NEVER,
+            release_end: 0,
             unrecorded: VecDeque::new(),
-            out: VecDeque::new(),
+            outputs: VecDeque::new(),
             limits,
             updates: 0,
             messages: 0,
@@ -156,120 +159,129 @@
         })
     }
 
+    /// Returns the server with this index.
     pub fn server(&self, server: usize) -> &Server {
         self.servers.get(server)
     }
 
-    /// The proxies that are joined.
+    /// Iterates over the numbers of the joined proxies.
     pub fn joined(&self) -> impl Iterator<Item = usize> + '_ {
         self.proxies.iter().enumerate().filter(|(_, proxy)| proxy.joined).map(|(number, _)| number)
     }
 
-    pub fn figures(&self) -> Figures {
-        Figures {
+    /// Returns the current metrics.
+    pub fn figures(&self) -> Metrics {
+        Metrics {
             joined: self.joined,
             waiting: self.channel.waiting(),
             most_waiting: self.channel.most_waiting,
             updates: self.updates,
             messages: self.messages,
-            holds: self.channel.holds,
+            holds: self.channel.window_waits,
             stray_answers: self.stray_answers,
             broken: self.broken,
-            reports_waiting: self.sums.waiting(),
+            reports_waiting: self.totals.waiting(),
         }
     }
 
-    /// A list follows, entry by entry; `list_end` closes it.
+    /// Starts a server list; entries follow with `list_entry`, and `list_end` completes it.
     pub fn list_begin(&mut self, scope: Scope) {
-        self.notified = true;
+        self.decision_due = true;
         if scope != Scope::Changes {
-            self.servers.unlist();
+            self.servers.clear_listed();
         }
         self.steward.list_begin(scope);
     }
 
+    /// Adds one server to the list that was started.
     pub fn list_entry(&mut self, id: &str, zone: &str, address: &str, health: Health, boot: Time) {
         let server = self.servers.learn(id, zone, address);
-        self.servers.list(server, health, boot);
+        self.servers.set_listed(server, health, boot);
         self.steward.list_entry(server, health, boot);
     }
 
+    /// Completes the server list.
     pub fn list_end(&mut self, scope: Scope) {
         self.steward.list_end(scope);
     }
 
+    /// Reports that the server list could not be read.
     pub fn list_failed(&mut self, now: Time) {
-        self.notified = true;
+        self.decision_due = true;
         self.steward.list_failed(now);
     }
 
-    /// When [`Host::timeout`] is to be called next.
+    /// Returns when [`Host::timeout`] must be called next.
     pub fn next_timeout(&self, now: Time) -> Time {
-        let update = self.notified.then_some(self.update_at).filter(|_| self.has_room());
-        let heaps = [self.deadlines.peek().map(|d| d.0 .0), self.releases.peek().map(|r| r.0 .0)];
-        let all = [self.reminders.first().copied(), update, self.channel.next_at(now)]
+        let update = self.decision_due.then_some(self.update_at).filter(|_| self.has_capacity());
+        let heaps = [self.deadlines.peek().map(|d| d.0 .0), self.deferred_answers.peek().map(|r| r.0 .0)];
+        let all = [self.reminders.first().copied(), update, self.channel.next_proxy_at(now)]
             .into_iter()
             .chain(heaps)
             .flatten();
         all.chain([self.cycle_at]).min().unwrap_or(self.cycle_at)
     }
 
+    /// Handles all timers that have expired.
     pub fn timeout(&mut self, now: Time) {
         while self.reminders.first().is_some_and(|at| now >= *at) {
             self.reminders.pop_first();
-            self.notified = true;
+            self.decision_due = true;
             self.steward.reminder();
         }
         if now >= self.cycle_at {
             self.cycle_at = now + self.limits.cycle;
-            self.notified |= self.sums.hand_on(now, self.limits.intake, &mut self.steward) > 0;
+            self.decision_due |=
+                self.totals.forward(now, self.limits.reports_per_second, &mut self.steward) > 0;
         }
-        while let Some(&Reverse((at, proxy))) = self.releases.peek().filter(|r| r.0 .0 <= now) {
-            self.releases.pop();
+        while let Some(&Reverse((at, proxy))) = self.deferred_answers.peek().filter(|r| r.0 .0 <= now) {
+            self.deferred_answers.pop();
             let entry = &mut self.proxies[proxy];
-            let clear = entry.clear.max(self.clear);
-            if clear > at {
-                if entry.kept_back.is_some() {
-                    self.releases.push(Reverse((clear, proxy)));
+            let answers_count_from = entry.answers_count_from.max(self.answers_count_from);
+            if answers_count_from > at {
+                if entry.deferred_answer.is_some() {
+                    self.deferred_answers.push(Reverse((answers_count_from, proxy)));
                 }
-            } else if let Some(number) = entry.kept_back.take() {
-                self.notified = true;
+            } else if let Some(number) = entry.deferred_answer.take() {
+                self.decision_due = true;
                 self.steward.installed(now, proxy, number);
             }
         }
         while let Some(&Reverse((_, stream))) = self.deadlines.peek().filter(|d| d.0 .0 <= now) {
             self.deadlines.pop();
-            self.look_at(now, stream);
+            self.check_stream(now, stream);
         }
     }
 
-    /// The next thing to carry out, or none for now.
+    /// Returns the next action to carry out, or `None` if there is none for now.
     pub fn poll(&mut self, now: Time) -> Option<Output> {
-        if let Some(output) = self.out.pop_front() {
+        if let Some(output) = self.outputs.pop_front() {
             return Some(output);
         }
-        if self.notified && now >= self.update_at && self.has_room() {
-            self.notified = false;
+        if self.decision_due && now >= self.update_at && self.has_capacity() {
+            self.decision_due = false;
             self.update_at = now + self.limits.tick;
             self.update(now);
-            if let Some(output) = self.out.pop_front() {
+            if let Some(output) = self.outputs.pop_front() {
                 return Some(output);
             }
         }
-        while let Some(proxy) = self.channel.next(now) {
+        while let Some(proxy) = self.channel.next_proxy(now) {
             let entry = &mut self.proxies[proxy];
             let stream = entry.stream.and_then(|number| Some((number, self.streams.get_mut(&number)?)));
-            let Some((number, stream)) = stream.filter(|(_, stream)| stream.busy.is_none()) else {
-                // It comes back in line when its stream has room, or never.
-                self.channel.unqueue(&mut entry.place);
+            let Some((number, stream)) = stream.filter(|(_, stream)| stream.writing_since.is_none()) else {
+                // Queued again once its stream can take a frame, if ever.
+                self.channel.mark_unqueued(&mut entry.position);
                 continue;
             };
-            // Asked until it is joined, and until it has applied that slices were left.
-            let asks = !entry.joined || entry.applied < self.left;
-            if let Some(message) = self.channel.take(now, proxy, &mut entry.place, asks, &self.limits) {
-                stream.busy = Some(now);
-                entry.due.extend(message.epoch.map(|epoch| (epoch, now)));
-                entry.asked = message.end.map(|end| (end, now)).or(entry.asked);
+            // An answer is required until the proxy is joined and has applied that slices were given up.
+            let require_answer = !entry.joined || entry.applied_end < self.release_end;
+            if let Some(message) =
+                self.channel.next_message(now, proxy, &mut entry.position, require_answer, &self.limits)
+            {
+                stream.writing_since = Some(now);
+                entry.unanswered.extend(message.epoch.map(|epoch| (epoch, now)));
+                entry.awaited_end = message.end.map(|end| (end, now)).or(entry.awaited_end);
                 self.messages += 1;
                 return Some(Output::Frame { stream: number, body: message.body });
             }
@@ -277,8 +289,9 @@
         None
     }
 
-    /// At the bound of waiting lines no update is pulled: decisions wait until lines have left.
-    fn has_room(&self) -> bool {
-        self.channel.waiting() < self.limits.waiting.max(1)
+    /// Returns true if the channel can take another update. At the limit of waiting lines decisions are postponed until
+    /// lines have been sent.
+    fn has_capacity(&self) -> bool {
+        self.channel.waiting() < self.limits.max_waiting.max(1)
     }
 }
--- a/crates/host/src/host/streams.rs
+++ b/crates/host/src/host/streams.rs
@@ -1,4 +1,4 @@
-//! The streams of proxies: opened, read, written, closed, and broken off where they are silent for too long.
+//! The streams of proxies: opening, reading, writing, closing, and timeouts.
 
 use std::cmp::Reverse;
 
@@ -7,16 +7,16 @@
 
 use super::Host;
 use crate::proxy::Stream;
-use crate::{Output, Why};
+use crate::{CloseReason, Output};
 
 impl Host {
-    /// A connection is open. It has the stated time to say hello.
+    /// Handles a new connection, which must send its hello within `host.silent_s`.
     pub fn opened(&mut self, now: Time, stream: u64) {
         self.streams.insert(stream, Stream::new(now));
-        self.deadlines.push(Reverse((now + self.limits.silent, stream)));
+        self.deadlines.push(Reverse((now + self.limits.stream_timeout, stream)));
     }
 
-    /// A body has come in; what can't be read breaks the stream, and harms no other.
+    /// Handles a received frame body. A malformed one closes this stream and affects no other.
     pub fn frame(&mut self, now: Time, stream: u64, body: &[u8]) {
         let Some(entry) = self.streams.get_mut(&stream) else { return };
         entry.received_at = now;
@@ -30,85 +30,90 @@
             (_, None) => Err(Fault::Empty),
         });
         if read.is_err() {
-            self.close(now, stream, Why::Fault);
+            self.close(now, stream, CloseReason::Fault);
         }
     }
 
-    /// The stream is gone; so is what was on its way.
+    /// Handles a closed stream; frames in transit are lost.
     pub fn closed(&mut self, now: Time, stream: u64) {
         let Some(entry) = self.streams.remove(&stream) else { return };
         let Some(proxy) = entry.proxy else { return };
-        self.following -= 1;
+        self.followers -= 1;
         let entry = &mut self.proxies[proxy];
-        (entry.stream, entry.asked, entry.kept_back) = (None, None, None);
-        entry.due.clear();
-        self.channel.leave(&entry.place);
-        // One that had not joined yet was never echoed here: its lease is that of the stream before.
+        (entry.stream, entry.awaited_end, entry.deferred_answer) = (None, None, None);
+        entry.unanswered.clear();
+        self.channel.leave(&entry.position);
+        // A proxy that had not joined was never echoed on this stream: its lease is that of its previous stream.
         if std::mem::replace(&mut entry.joined, false) {
             self.joined -= 1;
-            self.notified = true;
+            self.decision_due = true;
             self.steward.stream_down(now, proxy);
         }
     }
 
-    /// The last frame handed out for the stream has left for the socket.
+    /// Handles the completed write of the stream's last frame to the socket.
     pub fn sent(&mut self, now: Time, stream: u64) {
         let Some(entry) = self.streams.get_mut(&stream) else { return };
-        entry.busy = None;
+        entry.writing_since = None;
         let proxy = entry.proxy;
-        if let Some((_, since)) = proxy.and_then(|proxy| self.proxies[proxy].asked.as_mut()) {
-            // A large table takes time to be read; its answer is due from its last part on.
+        if let Some((_, since)) = proxy.and_then(|proxy| self.proxies[proxy].awaited_end.as_mut()) {
+            // Reading a large table takes time: the answer's timeout starts with the last part.
             *since = now;
         }
-        self.write_first(now, stream);
+        self.write_priority(now, stream);
         if let Some(proxy) = proxy {
-            self.channel.queue(proxy, &mut self.proxies[proxy].place);
+            self.channel.enqueue(proxy, &mut self.proxies[proxy].position);
         }
     }
 
-    pub(super) fn close(&mut self, now: Time, stream: u64, why: Why) {
+    /// Closes a stream from this side.
+    pub(super) fn close(&mut self, now: Time, stream: u64, why: CloseReason) {
         self.broken += 1;
-        self.out.push_back(Output::Close { stream, why });
+        self.outputs.push_back(Output::Close { stream, why });
         self.closed(now, stream);
     }
 
-    /// What goes before tables, if the stream has room: the welcome and the whole table, then the newest echo.
-    pub(super) fn write_first(&mut self, now: Time, stream: u64) {
-        let Some(entry) = self.streams.get_mut(&stream).filter(|entry| entry.busy.is_none()) else { return };
-        // One that has not applied yet that slices were left would hold its lease on them.
+    /// Writes what has priority over updates, if no write is in progress: the welcome and the whole table, then the
+    /// echo of the newest ping.
+    pub(super) fn write_priority(&mut self, now: Time, stream: u64) {
+        let Some(entry) = self.streams.get_mut(&stream).filter(|entry| entry.writing_since.is_none()) else {
+            return;
+        };
+        // A proxy that has not yet applied that slices were given up would extend its lease on them.
         let is_up_to_date =
-            |proxy: usize| self.proxies[proxy].joined && self.proxies[proxy].applied >= self.left;
+            |proxy: usize| self.proxies[proxy].joined && self.proxies[proxy].applied_end >= self.release_end;
         let echoed = entry.proxy.is_some_and(is_up_to_date);
-        let body = match (entry.first.pop_front(), entry.ping) {
+        let body = match (entry.priority_frames.pop_front(), entry.unechoed_ping) {
             (Some(body), _) => body,
             (None, Some(sent)) if echoed => {
-                entry.ping = None;
-                // The lease that this renews runs from `sent`, which lies before now.
-                entry.proxy.iter().for_each(|&proxy| self.proxies[proxy].echoed = now);
+                entry.unechoed_ping = None;
+                // The renewed lease runs from `sent`, which is in the past.
+                entry.proxy.iter().for_each(|&proxy| self.proxies[proxy].last_echo = now);
                 Frame::new(kind::ECHO).numbers(tag::SENT, &[sent]).finish()
             }
             (None, _) => return,
         };
-        entry.busy = Some(now);
-        self.out.push_back(Output::Frame { stream, body });
+        entry.writing_since = Some(now);
+        self.outputs.push_back(Output::Frame { stream, body });
     }
 
-    /// Breaks a stream that has been silent, stuck or without an answer for too long, or says when to look again.
-    pub(super) fn look_at(&mut self, now: Time, stream: u64) {
+    /// Closes a stream that has been silent, stuck or without an answer for too long, or schedules the next check.
+    pub(super) fn check_stream(&mut self, now: Time, stream: u64) {
         let Some(entry) = self.streams.get(&stream) else { return };
-        let due = entry.proxy.and_then(|proxy| self.proxies[proxy].due.front().map(|&(_, sent)| sent));
-        let asked = entry.proxy.and_then(|proxy| self.proxies[proxy].asked.map(|(_, since)| since));
+        let epoch_sent =
+            entry.proxy.and_then(|proxy| self.proxies[proxy].unanswered.front().map(|&(_, sent)| sent));
+        let end_sent = entry.proxy.and_then(|proxy| self.proxies[proxy].awaited_end.map(|(_, since)| since));
         let reasons = [
-            (Some(entry.received_at), Why::Silent),
-            (entry.busy, Why::Stuck),
-            (due.or(asked), Why::Unanswered),
+            (Some(entry.received_at), CloseReason::Silent),
+            (entry.writing_since, CloseReason::Stuck),
+            (epoch_sent.or(end_sent), CloseReason::Unanswered),
         ];
         let since = reasons.into_iter().filter_map(|(since, why)| Some((since?, why)));
         let Some((since, why)) = since.min_by_key(|&(since, _)| since) else { return };
-        if since + self.limits.silent <= now {
+        if since + self.limits.stream_timeout <= now {
             self.close(now, stream, why);
         } else {
-            self.deadlines.push(Reverse((since + self.limits.silent, stream)));
+            self.deadlines.push(Reverse((since + self.limits.stream_timeout, stream)));
         }
     }
 }
--- a/crates/host/src/host/updates.rs
+++ b/crates/host/src/host/updates.rs
@@ -1,4 +1,4 @@
-//! Updates: the decisions of one moment, recorded and then published to the proxies.
+//! Updates: all decisions of one moment, recorded and then published to the proxies.
 
 use ravenspar_protocol::Frame;
 use ravenspar_steward::{Order, Time, WHOLE};
@@ -9,10 +9,10 @@
 use crate::Output;
 
 impl Host {
-    /// Pulls the decisions of one moment: they make one update.
+    /// Pulls the steward's pending decisions and makes one update of them.
     pub(super) fn update(&mut self, now: Time) {
         let (mut changes, mut epoch) = (Vec::new(), None);
-        // Streams are heard as they are read: what was answered up to now is known.
+        // Frames are handled as they are read, so all answers up to now are known.
         self.steward.news_heard(now);
         while let Some(order) = self.steward.next_order(now) {
             match order {
@@ -25,11 +25,11 @@
                 }
                 Order::Withdraw { server, out } => changes.push(Change::Withdraw { server, out }),
                 Order::Stamp { number } => {
-                    // Marks travel whole; the decisions' numbers are their last 16 bits.
+                    // Epochs are sent in full; the steward's numbers are their low 16 bits.
                     self.epoch += u64::from(number.wrapping_sub(self.epoch as u16));
                     epoch = Some(self.epoch);
                 }
-                Order::Watch => self.out.push_back(Output::Watch),
+                Order::Watch => self.outputs.push_back(Output::Watch),
                 Order::Remind { at } => _ = self.reminders.insert(at),
             }
         }
@@ -45,44 +45,46 @@
             })
             .collect();
         for (slice, owner, _) in &record {
-            // Its proxies may hold leases of the steward before, and an earlier life of one of them does so unseen.
+            // Proxies may hold leases of the previous steward, and so may an earlier incarnation of a proxy that this
+            // host knows nothing of.
             if owner.is_none() && self.taken_over[*slice] != NEVER {
-                self.clear = self.clear.max(self.taken_over[*slice] + self.limits.lease);
+                self.answers_count_from =
+                    self.answers_count_from.max(self.taken_over[*slice] + self.limits.lease);
             }
         }
         let mut fields = Frame::fields();
         changes.iter().for_each(|change| change.write(&self.servers, &mut fields));
-        // An epoch is a line too.
-        let cost = self.limits.head + changes.len() as u64 + u64::from(epoch.is_some());
-        let update = self.channel.push(fields.finish(), changes, cost, epoch, self.following);
+        // An epoch costs one line too.
+        let cost = self.limits.message_overhead + changes.len() as u64 + u64::from(epoch.is_some());
+        let update = self.channel.push(fields.finish(), changes, cost, epoch, self.followers);
         self.updates += 1;
         self.unrecorded.push_back((update, !record.is_empty()));
         if !record.is_empty() {
-            self.out.push_back(Output::Record { ticket: update, epoch: self.epoch, routes: record });
+            self.outputs.push_back(Output::Record { ticket: update, epoch: self.epoch, routes: record });
         }
-        self.show();
+        self.publish_durable();
     }
 
-    /// All routes up to this ticket are durable.
+    /// Handles the report that all routes up to this ticket are durable.
     pub fn recorded(&mut self, ticket: u64) {
         for (update, waits) in &mut self.unrecorded {
             *waits &= *update > ticket;
         }
-        self.show();
+        self.publish_durable();
     }
 
-    /// Brings into force every update that waits for the record no more, in order.
-    pub(crate) fn show(&mut self) {
+    /// Applies, in order, every update that no longer waits for its routes to be recorded, and queues the proxies.
+    pub(crate) fn publish_durable(&mut self) {
         let mut shown = false;
         while let Some((update, _)) = self.unrecorded.front().copied().filter(|(_, waits)| !waits) {
             self.unrecorded.pop_front();
-            self.channel.durable(update, |change| self.table.apply(change));
+            self.channel.mark_durable(update, |change| self.table.apply(change));
             shown = true;
         }
         if shown {
             for (number, entry) in self.proxies.iter_mut().enumerate() {
                 if entry.stream.is_some() {
-                    self.channel.queue(number, &mut entry.place);
+                    self.channel.enqueue(number, &mut entry.position);
                 }
             }
         }
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -1,9 +1,10 @@
-//! The host core: what stands between a steward's decisions and the streams of its proxies.
+//! The host core: publishes a steward's decisions to proxies and feeds their answers and reports back to it.
 //!
-//! Pure: no I/O, no clock, no tokio. A runtime (the program, or an emulator) calls one method of [`Host`] for each
-//! thing it learns, a time handed in, then pulls [`Output`]s with [`Host::poll`] until there is none, and calls
-//! [`Host::timeout`] at [`Host::next_timeout`]. The same calls give the same outputs byte for byte. The split is that
-//! of quinn-proto; `docs/design/steward.md` has the reasoning, above all of leases.
+//! The core is sans-I/O: it performs no I/O, reads no clock and doesn't depend on tokio. A runtime (the program or an
+//! emulator) calls one method of [`Host`] for each input, passing the current time, then pulls [`Output`]s with
+//! [`Host::poll`] until it returns `None`, and calls [`Host::timeout`] at [`Host::next_timeout`]. The same calls
+//! produce the same outputs byte for byte. The split follows quinn-proto; `docs/design/steward.md` explains the design,
+//! leases in particular.
 
 mod channel;
 mod host;
@@ -11,47 +12,48 @@
 mod ownership;
 mod proxy;
 mod servers;
-mod sums;
 mod table;
+mod totals;
 
 use bytes::Bytes;
 
-pub use host::{Figures, Host};
+pub use host::{Host, Metrics};
 pub use ownership::Charged;
 pub use servers::Server;
 
-/// One thing that the runtime is to carry out, in the order in which it was pulled.
+/// An action for the runtime, to be carried out in the order in which it was pulled.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Make these routes durable, then call [`Host::recorded`] with the ticket. Nothing that depends on them leaves
-    /// before. Owners are indices, see [`Host::server`]; none while the slice is on its way.
+    /// Make these routes (slice, owner, weight) durable, then call [`Host::recorded`] with the ticket. No frame that
+    /// depends on them is sent before that. Owners are indices, see [`Host::server`]; `None` while the slice moves
+    /// between servers.
     Record { ticket: u64, epoch: u64, routes: Vec<(usize, Option<usize>, f64)> },
-    /// Write this body to a stream, then call [`Host::sent`]. No other comes for the stream before that, but for a
-    /// refusal's close.
+    /// Write this body to a stream, then call [`Host::sent`]. Until then the stream gets no other frame; it may only be
+    /// closed, after a refusal.
     Frame { stream: u64, body: Bytes },
-    /// Close a stream once what it was handed is written; whatever still comes from it is ignored.
-    Close { stream: u64, why: Why },
-    /// A proxy has joined on this stream: it has applied all that there was.
+    /// Close a stream once its pending frames are written; further input from it is ignored.
+    Close { stream: u64, why: CloseReason },
+    /// A proxy has joined on this stream: it has applied every update so far.
     Joined { stream: u64, proxy: usize },
-    /// Subscribe to the changes of the server list.
+    /// Subscribe to changes of the server list.
     Watch,
 }
 
-/// Why the host closes a stream.
+/// The reason for which the host closes a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
-    /// It spoke another version; it was notified.
+pub enum CloseReason {
+    /// The proxy speaks another version of the protocol; a refusal was sent.
     Version,
-    /// It named a proxy that the settings have no room for; it was notified.
+    /// The proxy's number is past `family_info.proxy_count`; a refusal was sent.
     Number,
-    /// Its proxy has joined on a newer stream.
+    /// The same proxy has opened a newer stream.
     Replaced,
-    /// Nothing came from it for the stated time.
+    /// Nothing was received for `host.silent_s`.
     Silent,
-    /// It took nothing in for the stated time.
+    /// A frame could not be written for `host.silent_s`.
     Stuck,
-    /// It left an epoch unanswered for the stated time.
+    /// An epoch or an end was not answered for `host.silent_s`.
     Unanswered,
-    /// It sent what can't be read, or something before its hello.
+    /// A malformed frame, or a frame before the hello.
     Fault,
 }
--- a/crates/host/src/limits.rs
+++ b/crates/host/src/limits.rs
@@ -1,35 +1,38 @@
-//! What the host needs of the settings, by the names that the decisions use too.
+//! The settings that the host uses, under the keys that the steward uses too.
 
 use ravenspar_steward::{Settings, Time, SECOND};
 
+/// Sizes, intervals and rates from the settings.
 #[derive(Clone, Debug)]
 pub struct Limits {
     pub slices: usize,
     pub proxies: usize,
+    /// Request kinds by name, and whether each writes.
     pub kinds: Vec<(String, bool)>,
     pub lease: Time,
     pub settle: Time,
     pub hold: Time,
-    /// A stream that says nothing, takes nothing in or answers nothing for this long is broken.
-    pub silent: Time,
-    /// The shortest time between two updates.
+    /// A stream that sends nothing, accepts nothing or leaves an answer due for this long is closed.
+    pub stream_timeout: Time,
+    /// Minimum interval between two updates.
     pub tick: Time,
-    /// Lines a second that the channel sends.
-    pub rate: f64,
-    /// Lines that each message costs on top of its own.
-    pub head: u64,
-    /// Lines that may wait.
-    pub waiting: u64,
-    /// Messages to one proxy within the window; 0: no limit.
-    pub messages: usize,
+    /// Lines per second that the channel sends.
+    pub lines_per_second: f64,
+    /// Overhead of each message, in lines.
+    pub message_overhead: u64,
+    /// Number of waiting lines from which decisions are postponed.
+    pub max_waiting: u64,
+    /// Maximum number of messages to one proxy within the window; 0 means no limit.
+    pub messages_per_window: usize,
     pub window: Time,
+    /// Interval between two reports of a proxy, and between passing totals on.
     pub cycle: Time,
-    /// Report lines a second handed on.
-    pub intake: f64,
+    /// Report lines per second passed on to the steward.
+    pub reports_per_second: f64,
 }
 
 impl Limits {
-    /// Fails with the name of a setting that is missing or unusable.
+    /// Returns the name of the setting as the error if one is missing or invalid.
     pub fn new(cfg: &Settings) -> Result<Limits, &'static str> {
         let number = |name: &'static str| cfg.number(name).filter(|&n| n >= 0.0).ok_or(name);
         let time = |name: &'static str| cfg.time(name).filter(|&t| t > 0).ok_or(name);
@@ -44,15 +47,15 @@
             lease: time("family_info.write_lease_s")?,
             settle: time("family_info.settle_s")?,
             hold: time("family_info.hold_s")?,
-            silent: time("host.silent_s")?,
+            stream_timeout: time("host.silent_s")?,
             tick: time("tick_s")?,
-            rate: number("family_info.channel_rate")?.max(1.0),
-            head: number("family_info.fixed_cost")? as u64,
-            waiting: number("family_info.pending_max")? as u64,
-            messages: number("family_info.pushes_allowed")? as usize,
+            lines_per_second: number("family_info.channel_rate")?.max(1.0),
+            message_overhead: number("family_info.fixed_cost")? as u64,
+            max_waiting: number("family_info.pending_max")? as u64,
+            messages_per_window: number("family_info.pushes_allowed")? as usize,
             window: cfg.time("family_info.update_window_s").unwrap_or(10 * SECOND),
             cycle: time("family_info.cycle_s")?,
-            intake: number("family_info.intake_per_s")?,
+            reports_per_second: number("family_info.intake_per_s")?,
         })
     }
 }
--- a/crates/host/src/ownership.rs
+++ b/crates/host/src/ownership.rs
@@ -1,4 +1,4 @@
-//! Slices whose ownership this steward gains and loses, where several stewards share them.
+//! Assignment of slices to this steward and their release, where several stewards share the slices.
 
 use ravenspar_protocol::Frame;
 use ravenspar_steward::{Health, Scope, Time};
@@ -7,56 +7,58 @@
 use crate::table::{write_assigned, write_left, Change};
 use crate::Host;
 
-/// A slice that this steward has come to own, as it is on record.
+/// A slice that has been assigned to this steward, with its recorded state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Charged {
     pub slice: usize,
-    /// Larger than any that the slice was owned under before.
+    /// The term of the assignment, larger than those of all earlier assignments of the slice.
     pub term: u64,
-    /// Until when the owning steward before, another or another life of this one, may have echoed forwarders; none
-    /// where nobody was.
+    /// Until when the previous steward (another one, or an earlier incarnation of this one) may have echoed forwarders;
+    /// `None` if the slice was assigned to no steward before.
     pub echoed_until: Option<Time>,
-    /// Its owner's id, weight and last start as whoever granted it knew; none while the slice is on its way.
+    /// The owner's id, weight and last start as known to the steward that granted it; `None` while the slice moves
+    /// between servers.
     pub owner: Option<(String, f64, Time)>,
 }
 
 impl Host {
-    /// These slices, in order, are owned by this steward from now on; what the record says of them was read
-    /// **after** that became so. Proxies are notified, ahead of any decision on them. A slice that was on its way waits a
-    /// lease and settles anew; one open to reads alone is revoked and does so too; nothing opens early.
-    pub fn charged(&mut self, now: Time, all: &[Charged]) {
-        let known = |charged: &&Charged| charged.slice < self.limits.slices && charged.term > 0;
-        let all: Vec<&Charged> = all.iter().filter(known).collect();
-        if all.is_empty() {
+    /// Assigns slices, in ascending order, to this steward. Their record must have been read **after** the assignment
+    /// took effect. Proxies are notified before any decision on the slices. A slice that was moving between servers waits
+    /// for a lease and settles again; one open to reads alone is revoked and then does the same; no slice opens early.
+    pub fn charged(&mut self, now: Time, slices: &[Charged]) {
+        let known = |assigned: &&Charged| assigned.slice < self.limits.slices && assigned.term > 0;
+        let slices: Vec<&Charged> = slices.iter().filter(known).collect();
+        if slices.is_empty() {
             return;
         }
-        let owned = all.iter().filter_map(|charged| charged.owner.as_ref());
-        owned.for_each(|(owner, _, boot)| self.learn_start(owner, *boot));
-        let assigned: Vec<(usize, u64)> = all.iter().map(|charged| (charged.slice, charged.term)).collect();
+        let owners = slices.iter().filter_map(|assigned| assigned.owner.as_ref());
+        owners.for_each(|(owner, _, boot)| self.apply_recorded_start(owner, *boot));
+        let terms: Vec<(usize, u64)> =
+            slices.iter().map(|assigned| (assigned.slice, assigned.term)).collect();
         let mut fields = Frame::fields();
-        // Their routes are read from the record, as a joining proxy reads them: they cost the channel a line a run.
-        let entries = write_assigned(&assigned, &mut fields);
-        let mut changes = Vec::with_capacity(2 * all.len());
-        for charged in all {
-            let slice = charged.slice;
-            self.terms[slice] = charged.term;
-            self.taken_over[slice] = charged.echoed_until.unwrap_or(NEVER);
-            self.steward.given(charged.echoed_until.unwrap_or(now).max(now), slice);
-            changes.push(Change::Assigned { slice, term: charged.term });
-            if let Some((owner, weight, _)) = &charged.owner {
+        // Routes are read from the record, as a joining proxy reads them: the channel is charged one line per run.
+        let entries = write_assigned(&terms, &mut fields);
+        let mut changes = Vec::with_capacity(2 * slices.len());
+        for assigned in slices {
+            let slice = assigned.slice;
+            self.terms[slice] = assigned.term;
+            self.taken_over[slice] = assigned.echoed_until.unwrap_or(NEVER);
+            self.steward.given(assigned.echoed_until.unwrap_or(now).max(now), slice);
+            changes.push(Change::Assigned { slice, term: assigned.term });
+            if let Some((owner, weight, _)) = &assigned.owner {
                 let (server, weight) = (self.servers.index(owner), *weight);
                 self.steward.on_record(now, slice, server, weight);
-                let held = Change::Held { slice, server, weight };
-                held.write(&self.servers, &mut fields);
-                changes.push(held);
+                let recorded = Change::Held { slice, server, weight };
+                recorded.write(&self.servers, &mut fields);
+                changes.push(recorded);
             }
         }
         self.publish(fields, changes, entries);
     }
 
-    /// These slices, in order, are owned by this steward no more, **before** anybody else may know of it. What was
-    /// decided of them still goes out ahead of this. From here on no proxy is echoed that has not applied it: by the
-    /// time at which a lease has passed, none holds one of this steward's on any of them.
+    /// Releases slices, in ascending order; must be called **before** any other steward can learn of the release.
+    /// Decisions already made on them are still published ahead of it. From now on a proxy is echoed only once it has
+    /// applied the release, so that one lease later no proxy holds a lease of this steward on any of the slices.
     pub fn left(&mut self, slices: &[usize]) {
         let slices: Vec<usize> = slices.iter().copied().filter(|slice| *slice < self.limits.slices).collect();
         if slices.is_empty() {
@@ -69,34 +71,35 @@
             self.steward.taken(slice);
         }
         let changes = slices.iter().map(|&slice| Change::Left { slice }).collect();
-        self.left = self.publish(fields, changes, entries) + 1;
+        self.release_end = self.publish(fields, changes, entries) + 1;
     }
 
-    /// The term under which this steward owns a slice; 0: it does not.
+    /// Returns the term under which a slice is assigned to this steward, or 0 if it is not.
     pub fn term(&self, slice: usize) -> u64 {
         self.terms.get(slice).copied().unwrap_or(0)
     }
 
-    /// Whether a slice has an owner that takes writes, as the tables say: it is in the middle of nothing.
+    /// Returns true if, by the durable table, a slice has an owner that accepts writes, so that no move is in progress.
     pub fn is_at_rest(&self, slice: usize) -> bool {
-        self.table.is_whole(slice)
+        self.table.accepts_writes(slice)
     }
 
-    /// When a server last started, as far as list and record say.
+    /// Returns when a server last started, as far as known from the list and the record.
     pub fn boot(&self, server: usize) -> Time {
         self.servers.boot(server)
     }
 
-    /// Lines that may still come to wait before decisions have to.
+    /// Returns how many more lines may be queued before decisions are postponed.
     pub fn room(&self) -> u64 {
-        self.limits.waiting.saturating_sub(self.channel.waiting())
+        self.limits.max_waiting.saturating_sub(self.channel.waiting())
     }
 
-    /// A start of a server that the record knows of and the list does not yet. Guards against a list that lags behind
-    /// that of the steward before: hearing of the start later would look as if all it holds had stopped by it.
-    fn learn_start(&mut self, id: &str, boot: Time) {
+    /// Applies a server's start that the record has and the list does not have yet. Guards against a list that lags
+    /// behind the previous steward's: if the start were learnt from the list later, all slices that the server holds
+    /// would seem to have been lost by it.
+    fn apply_recorded_start(&mut self, id: &str, boot: Time) {
         let server = self.servers.index(id);
-        let Some(listed) = self.servers.started(server, boot) else { return };
+        let Some(listed) = self.servers.record_start(server, boot) else { return };
         self.steward.list_begin(Scope::Changes);
         self.steward.list_entry(server, listed.unwrap_or(Health::Ready), boot);
         if listed.is_none() {
@@ -105,14 +108,14 @@
         self.steward.list_end(Scope::Changes);
     }
 
-    /// An update with nothing to record; returns its number.
+    /// Publishes an update that has no routes to record; returns its number.
     fn publish(&mut self, mut fields: Frame, changes: Vec<Change>, entries: u64) -> u64 {
-        let cost = self.limits.head + entries;
-        let update = self.channel.push(fields.finish(), changes, cost, None, self.following);
+        let cost = self.limits.message_overhead + entries;
+        let update = self.channel.push(fields.finish(), changes, cost, None, self.followers);
         self.updates += 1;
-        self.notified = true;
+        self.decision_due = true;
         self.unrecorded.push_back((update, false));
-        self.show();
+        self.publish_durable();
         update
     }
 }
--- a/crates/host/src/servers.rs
+++ b/crates/host/src/servers.rs
@@ -1,8 +1,8 @@
-//! The servers met so far, by small indices that never change while the host lives.
+//! The servers known so far, by small indices that stay the same as long as the host runs.
 
 use ravenspar_steward::{Health, IdTable, Time};
 
-/// What a proxy has to know of a server to send to it.
+/// What a proxy needs to know to send requests to a server.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Server {
     pub id: String,
@@ -10,16 +10,17 @@
     pub address: String,
 }
 
+/// All servers known from the list or the record.
 #[derive(Debug, Default)]
 pub struct Servers {
     index: IdTable<String>,
     all: Vec<Server>,
-    /// What the list now says of each, and the newest start known of it, by list or record.
+    /// Per server: its health in the current list, and its newest start known from list or record.
     listed: Vec<(Option<Health>, Time)>,
 }
 
 impl Servers {
-    /// The index of an id, which may be new.
+    /// Returns the index of an id; a new id is added.
     pub fn index(&mut self, id: &str) -> usize {
         let server = self.index.index(&id.to_owned());
         if server == self.all.len() {
@@ -29,6 +30,7 @@
         server
     }
 
+    /// Sets a server's zone and address; returns its index.
     pub fn learn(&mut self, id: &str, zone: &str, address: &str) -> usize {
         let index = self.index(id);
         let server = &mut self.all[index];
@@ -36,18 +38,20 @@
         index
     }
 
-    /// A complete list follows.
-    pub fn unlist(&mut self) {
+    /// Forgets the listed health of all servers, as a complete list follows.
+    pub fn clear_listed(&mut self) {
         self.listed.iter_mut().for_each(|entry| entry.0 = None);
     }
 
-    pub fn list(&mut self, server: usize, health: Health, boot: Time) {
+    /// Sets what the list has of a server.
+    pub fn set_listed(&mut self, server: usize, health: Health, boot: Time) {
         let entry = &mut self.listed[server];
         *entry = (Some(health), boot.max(entry.1));
     }
 
-    /// A start of it that the record tells of. Returns what the list says of it, if the start is news.
-    pub fn started(&mut self, server: usize, boot: Time) -> Option<Option<Health>> {
+    /// Applies a start known from the record. Returns the server's listed health if the start is newer than the known
+    /// one, else `None`.
+    pub fn record_start(&mut self, server: usize, boot: Time) -> Option<Option<Health>> {
         let entry = &mut self.listed[server];
         (boot > entry.1).then(|| {
             entry.1 = boot;
@@ -55,7 +59,7 @@
         })
     }
 
-    /// When it last started, as far as known.
+    /// Returns when a server last started, as far as known.
     pub fn boot(&self, server: usize) -> Time {
         self.listed[server].1
     }
--- a/crates/host/src/table.rs
+++ b/crates/host/src/table.rs
@@ -1,11 +1,11 @@
-//! The tables as every joined proxy either has them or will have them next: what is durable, and no more.
+//! The routing table that all proxies have or are about to have: durable routes only.
 
 use bytes::Bytes;
 use ravenspar_protocol::{kind, millionths, tag, Frame};
 
 use crate::servers::Servers;
 
-/// One changed route. Admission ratios are not kept on record: a steward that starts over orders them anew.
+/// One change of the table. Admission ratios are not recorded: a steward that restarts sets them again.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
     Route {
@@ -25,105 +25,108 @@
         server: usize,
         out: bool,
     },
-    /// The steward owns the slice from here on, under this term; nobody owns it until that is reported.
+    /// The slice is assigned to this steward under this term; its route is unknown until one is reported.
     Assigned {
         slice: usize,
         term: u64,
     },
-    /// Its route on record, read anew.
+    /// The slice's route as read from the record.
     Held {
         slice: usize,
         server: usize,
         weight: f64,
     },
-    /// The steward owns it no more; what was reported of it still holds.
+    /// The slice is no longer assigned to this steward; proxies keep its last route.
     Left {
         slice: usize,
     },
 }
 
 impl Change {
-    /// Writes the change, and before it what a proxy has to know of its server.
-    pub fn write(&self, servers: &Servers, into: &mut Frame) {
+    /// Writes the change, preceded by the description of its server.
+    pub fn write(&self, servers: &Servers, frame: &mut Frame) {
         let number = |slice: &Option<usize>| slice.map_or(0, |slice| slice as u64 + 1);
         match self {
             Change::Route { slice, server, weight } => {
-                write_server(*server, servers, into);
-                into.numbers(tag::LINE, &[*slice as u64, *server as u64, millionths(*weight)])
+                write_server(*server, servers, frame);
+                frame.numbers(tag::LINE, &[*slice as u64, *server as u64, millionths(*weight)])
             }
-            Change::Drop { slice } => into.numbers(tag::DROP, &[*slice as u64]),
+            Change::Drop { slice } => frame.numbers(tag::DROP, &[*slice as u64]),
             Change::AdmissionRatio { slice, kinds, share } => {
-                into.numbers(tag::LEVEL, &[number(slice), u64::from(*kinds), millionths(*share)])
+                frame.numbers(tag::LEVEL, &[number(slice), u64::from(*kinds), millionths(*share)])
             }
             Change::Withdraw { server, out } => {
-                write_server(*server, servers, into);
-                into.numbers(tag::WITHDRAW, &[*server as u64, u64::from(*out)])
+                write_server(*server, servers, frame);
+                frame.numbers(tag::WITHDRAW, &[*server as u64, u64::from(*out)])
             }
-            Change::Assigned { slice, term } => into.numbers(tag::CHARGE, &[*slice as u64, 1, *term]),
+            Change::Assigned { slice, term } => frame.numbers(tag::CHARGE, &[*slice as u64, 1, *term]),
             Change::Held { slice, server, weight } => {
-                write_server(*server, servers, into);
-                into.numbers(tag::HELD, &[*slice as u64, *server as u64, millionths(*weight)])
+                write_server(*server, servers, frame);
+                frame.numbers(tag::HELD, &[*slice as u64, *server as u64, millionths(*weight)])
             }
-            Change::Left { slice } => into.numbers(tag::LEFT, &[*slice as u64, 1]),
+            Change::Left { slice } => frame.numbers(tag::LEFT, &[*slice as u64, 1]),
         };
     }
 }
 
-fn write_server(index: usize, servers: &Servers, into: &mut Frame) {
+fn write_server(index: usize, servers: &Servers, frame: &mut Frame) {
     let server = servers.get(index);
-    into.text(tag::SERVER, &[index as u64], &server.id);
-    into.text(tag::ADDRESS, &[index as u64], &server.address);
+    frame.text(tag::SERVER, &[index as u64], &server.id);
+    frame.text(tag::ADDRESS, &[index as u64], &server.address);
 }
 
-/// Writes the assignment of slices in order, neighbours of one term as one field.
-pub fn write_assigned(assigned: &[(usize, u64)], into: &mut Frame) -> u64 {
+/// Writes the assignment of slices in ascending order, each run of adjacent slices under one term as one field. Returns
+/// the number of fields.
+pub fn write_assigned(assigned: &[(usize, u64)], frame: &mut Frame) -> u64 {
     let runs = assigned.chunk_by(|a, b| b.0 == a.0 + 1 && a.1 == b.1);
-    runs.map(|run| _ = into.numbers(tag::CHARGE, &[run[0].0 as u64, run.len() as u64, run[0].1])).count()
+    runs.map(|run| _ = frame.numbers(tag::CHARGE, &[run[0].0 as u64, run.len() as u64, run[0].1])).count()
         as u64
 }
 
-/// The same for slices that are left.
-pub fn write_left(slices: &[usize], into: &mut Frame) -> u64 {
+/// Writes the release of slices in ascending order, each run as one field. Returns the number of fields.
+pub fn write_left(slices: &[usize], frame: &mut Frame) -> u64 {
     let runs = slices.chunk_by(|a, b| *b == a + 1);
-    runs.map(|run| _ = into.numbers(tag::LEFT, &[run[0] as u64, run.len() as u64])).count() as u64
+    runs.map(|run| _ = frame.numbers(tag::LEFT, &[run[0] as u64, run.len() as u64])).count() as u64
 }
 
 #[derive(Clone, Debug, Default)]
 struct Route {
-    /// The term under which the steward owns it; 0: it does not.
+    /// The term under which the slice is assigned to this steward; 0 if it is not.
     term: u64,
     owner: Option<(usize, f64)>,
-    /// Admission ratios set since the route was last dropped: kinds, share.
+    /// Admission ratios set since the route was last dropped: request kinds (a bit set) and share.
     admission_ratios: Vec<(u32, f64)>,
 }
 
+/// The routes and admission ratios in force.
 #[derive(Debug, Default)]
 pub struct Table {
     routes: Vec<Route>,
-    /// Admission ratios set for all slices, which hold beside those of a slice.
-    all: Vec<(u32, f64)>,
+    /// Admission ratios for all slices, which apply in addition to those of a slice.
+    global_ratios: Vec<(u32, f64)>,
     withdrawn: Vec<usize>,
-    /// What a joining proxy is sent, as long as nothing has changed since it was written.
+    /// The encoded table for joining proxies, cached until the next change.
     read: Option<Vec<Bytes>>,
 }
 
-/// Sets an admission ratio among others, the newest last, and drops those that it replaces whole.
+/// Appends an admission ratio and removes the older ones that it fully replaces.
 fn set_admission_ratio(admission_ratios: &mut Vec<(u32, f64)>, kinds: u32, share: f64) {
     admission_ratios.retain(|&(old, _)| old & !kinds != 0 || (kinds == 0 && old != 0));
     admission_ratios.push((kinds, share));
 }
 
 impl Table {
-    /// `term`: of the steward that owns all slices; 0: it owns none yet.
+    /// Creates a table whose slices are all assigned to this steward under `term`, or not assigned if it is 0.
     pub fn new(slices: usize, term: u64) -> Table {
         Table { routes: vec![Route { term, ..Route::default() }; slices], ..Table::default() }
     }
 
-    /// Whether a slice has an owner that takes writes.
-    pub fn is_whole(&self, slice: usize) -> bool {
+    /// Returns true if a slice has an owner that accepts writes.
+    pub fn accepts_writes(&self, slice: usize) -> bool {
         self.routes.get(slice).and_then(|route| route.owner).is_some_and(|(_, weight)| weight >= 1.0)
     }
 
+    /// Applies one durable change.
     pub fn apply(&mut self, change: &Change) {
         self.read = None;
         match *change {
@@ -139,7 +142,7 @@
                 set_admission_ratio(&mut self.routes[slice].admission_ratios, kinds, share);
             }
             Change::AdmissionRatio { slice: None, kinds, share } => {
-                set_admission_ratio(&mut self.all, kinds, share)
+                set_admission_ratio(&mut self.global_ratios, kinds, share)
             }
             Change::Withdraw { server, out } => {
                 self.withdrawn.retain(|&other| other != server);
@@ -150,9 +153,10 @@
         }
     }
 
-    /// The whole table as frames of a stated size; the last one holds the end, the number of the update behind it.
+    /// Returns the whole table as frames of about `PART` bytes. The last one carries `end`, the number of the first
+    /// update that the table does not include.
     pub fn read(&mut self, servers: &Servers, end: u64) -> Vec<Bytes> {
-        // Small enough that other streams get their turn between two parts, large enough that frames cost little.
+        // Small enough that other streams are served between two parts, large enough to keep the frame overhead low.
         const PART: usize = 16 * 1024;
         if let Some(read) = &self.read {
             return read.clone();
@@ -173,9 +177,13 @@
             };
             owner.chain(route.admission_ratios.iter().map(admission_ratio))
         });
-        let all = self.all.iter().map(|&(kinds, share)| Change::AdmissionRatio { slice: None, kinds, share });
+        let global_ratios = self.global_ratios.iter().map(|&(kinds, share)| Change::AdmissionRatio {
+            slice: None,
+            kinds,
+            share,
+        });
         let out = self.withdrawn.iter().map(|&server| Change::Withdraw { server, out: true });
-        for change in all.chain(out).chain(routes) {
+        for change in global_ratios.chain(out).chain(routes) {
             match change {
                 Change::Route { slice, server, weight } if std::mem::replace(&mut written[server], true) => {
                     frame.numbers(tag::LINE, &[slice as u64, server as u64, millionths(weight)]);
--- a/crates/host/tests/streams.rs
+++ b/crates/host/tests/streams.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use proptest::prelude::*;
-use ravenspar_host::{Host, Output, Why};
+use ravenspar_host::{CloseReason, Host, Output};
 use ravenspar_protocol::{kind, tag};
 use ravenspar_steward::{Health, Time, SECOND};
 
@@ -13,7 +13,7 @@
 }
 
 /// The reasons of all streams closed.
-fn closes(host: &mut Host, now: Time) -> Vec<(u64, Why)> {
+fn closes(host: &mut Host, now: Time) -> Vec<(u64, CloseReason)> {
     host.timeout(now);
     let outputs = std::iter::from_fn(|| host.poll(now));
     let close = |output| match output {
@@ -74,9 +74,10 @@
 #[test]
 fn another_version_and_a_number_without_room_are_told_so() {
     let mut host = host(0, 2, 1, &["a"]);
-    for (stream, body, why) in
-        [(1, vec![kind::HELLO, tag::VERSION, 1, 99], Why::Version), (2, hello(7, 1), Why::Number)]
-    {
+    for (stream, body, why) in [
+        (1, vec![kind::HELLO, tag::VERSION, 1, 99], CloseReason::Version),
+        (2, hello(7, 1), CloseReason::Number),
+    ] {
         host.opened(0, stream);
         host.frame(0, stream, &body);
         let outputs: Vec<Output> = std::iter::from_fn(|| host.poll(0)).collect();
@@ -109,7 +110,7 @@
         }
     }
     broken.sort_by_key(|&(stream, _)| stream);
-    assert_eq!(broken, [(1, Why::Silent), (2, Why::Stuck), (3, Why::Unanswered)]);
+    assert_eq!(broken, [(1, CloseReason::Silent), (2, CloseReason::Stuck), (3, CloseReason::Unanswered)]);
 }
 
 #[test]
@@ -118,7 +119,7 @@
     join(&mut host, 0, 1, 0, 1);
     host.opened(10, 2);
     host.frame(10, 2, &hello(0, 1));
-    assert_eq!(closes(&mut host, 10), [(1, Why::Replaced)]);
+    assert_eq!(closes(&mut host, 10), [(1, CloseReason::Replaced)]);
     let stray = host.figures().stray_answers;
     host.frame(11, 1, &answer(tag::END, 0));
     assert_eq!(host.figures().joined, 0);
