--- a/crates/sharing/tests/explore/events.rs
+++ b/crates/sharing/tests/explore/events.rs
@@ -1,48 +1,55 @@
-//! The events of the model: which can happen next, and what each does.
+//! The events of the model: which are possible in a state, and their effects.
 
 use std::collections::{BTreeSet, VecDeque};
 
 use ravenspar_sharing::useful::{dealt_nothing, MemberState};
 use ravenspar_sharing::Step;
 
-use super::world::{life, Asked, Event, Held, Message, Server, Without, World, FORWARDERS, SLICES, STEWARDS};
+use super::world::{
+    incarnation, Event, Message, Removed, Request, Route, Server, World, FORWARDERS, SLICES, STEWARDS,
+};
 
 impl World {
+    /// Queues a message from a steward on all its streams.
     pub(super) fn send(&mut self, steward: usize, message: &Message) {
         self.streams[steward].iter_mut().flatten().for_each(|stream| stream.push_back(message.clone()));
     }
 
-    /// All that can happen next.
+    /// Returns the possible next events.
     pub(super) fn events(&self) -> Vec<Event> {
         let mut events = Vec::new();
         for s in 0..STEWARDS {
             let steward = &self.stewards[s];
             if self.members.contains(&s) {
-                events.push(if steward.over { Event::Expire(s) } else { Event::Over(s) });
+                events.push(if steward.stopped {
+                    Event::MembershipExpiresAtStore(s)
+                } else {
+                    Event::MembershipExpires(s)
+                });
             }
-            match &steward.asked {
-                // What was asked for may be carried out however long its steward is gone.
-                Some((_, None)) => events.push(Event::Store(s)),
-                Some((_, Some(_))) if !steward.over => events.push(Event::Hear(s)),
-                None if !steward.over => {
-                    events.extend([Event::Look(s), Event::Act(s)]);
-                    let lies = (1..1 << STEWARDS).filter(|_| self.lies);
-                    events.extend(lies.map(|resting| Event::Believe(s, resting)));
+            match &steward.request {
+                // A request may be executed however long its steward has been gone.
+                Some((_, None)) => events.push(Event::ExecuteRequest(s)),
+                Some((_, Some(_))) if !steward.stopped => events.push(Event::ReceiveOutcome(s)),
+                None if !steward.stopped => {
+                    events.extend([Event::ReadStore(s), Event::TakeStep(s)]);
+                    let false_hints = (1..1 << STEWARDS).filter(|_| self.false_hints);
+                    events.extend(false_hints.map(|resting| Event::ReadFalseHints(s, resting)));
                 }
                 _ => {}
             }
             for slice in 0..SLICES {
-                if let Some((_, owner, waits)) = &steward.serves[slice] {
-                    if !steward.over && steward.asked.is_none() {
-                        events.push(match (owner, waits.is_empty()) {
+                if let Some((_, owner, unanswered)) = &steward.serves[slice] {
+                    if !steward.stopped && steward.request.is_none() {
+                        events.push(match (owner, unanswered.is_empty()) {
                             (Some(_), _) => Event::Revoke(s, slice),
                             (None, true) => Event::Grant(s, slice),
                             (None, false) => {
                                 events.extend(
-                                    waits
+                                    unanswered
                                         .iter()
-                                        .filter(|&&f| self.has_waited(s, slice, f))
-                                        .map(|&f| Event::Waited(s, slice, f)),
+                                        .filter(|&&f| self.lease_has_passed(s, slice, f))
+                                        .map(|&f| Event::LeasePassed(s, slice, f)),
                                 );
                                 continue;
                             }
@@ -56,82 +63,83 @@
                         if !stream.is_empty() {
                             events.push(Event::Deliver(s, f));
                         }
-                        // Not echoed before it has heard of what was left.
-                        let left = self.without != Without::Hearing
-                            && stream.iter().any(|message| matches!(message, Message::Left(_)));
-                        if self.joined[s][f] && !steward.over && !left && !self.leases[s][f] {
+                        // Not echoed before it has received all releases.
+                        let release_pending = self.removed != Removed::ReleasesFirst
+                            && stream.iter().any(|message| matches!(message, Message::Released(_)));
+                        if self.joined[s][f] && !steward.stopped && !release_pending && !self.leases[s][f] {
                             events.push(Event::Echo(s, f));
                         }
                         events.push(Event::Cut(s, f));
                     }
                     None => {
-                        if !steward.over {
+                        if !steward.stopped {
                             events.push(Event::Rejoin(s, f));
                         }
                     }
                 }
-                // It pings and is echoed as long as there is a stream; without one its lease ends.
-                if self.leases[s][f] && (self.streams[s][f].is_none() || steward.over) {
-                    events.push(Event::LeaseOver(s, f));
+                // The forwarder is echoed as long as there is a stream; without one its lease can expire.
+                if self.leases[s][f] && (self.streams[s][f].is_none() || steward.stopped) {
+                    events.push(Event::LeaseExpires(s, f));
                 }
             }
         }
         for f in 0..FORWARDERS {
-            let left = (0..SLICES).filter(|&slice| self.held[f][slice].left == Some(true));
-            events.extend(left.map(|slice| Event::LeftOver(f, slice)));
+            let released = (0..SLICES).filter(|&slice| self.routes[f][slice].released_lease == Some(true));
+            events.extend(released.map(|slice| Event::ReleasedLeaseExpires(f, slice)));
         }
         events
     }
 
-    pub(super) fn happen(&mut self, event: &Event) {
+    /// Applies one event.
+    pub(super) fn apply(&mut self, event: &Event) {
         match *event {
-            Event::Look(_) | Event::Believe(..) => {
+            Event::ReadStore(_) | Event::ReadFalseHints(..) => {
                 let (s, resting) = match *event {
-                    Event::Believe(s, resting) => (s, resting),
-                    Event::Look(s) => (s, 0),
+                    Event::ReadFalseHints(s, resting) => (s, resting),
+                    Event::ReadStore(s) => (s, 0),
                     _ => return,
                 };
                 let rests = |m: usize| resting >> m & 1 == 1;
                 let members: Vec<MemberState> =
-                    self.members.iter().map(|&m| (life(m), false, rests(m))).collect();
+                    self.members.iter().map(|&m| (incarnation(m), false, rests(m))).collect();
                 let members = dealt_nothing(&members);
                 let fleet = &mut self.stewards[s].fleet;
-                for (slice, (steward, term)) in self.charge.iter().enumerate() {
-                    fleet.charge(slice, life(*steward), *term);
+                for (slice, (steward, term)) in self.assignments.iter().enumerate() {
+                    fleet.charge(slice, incarnation(*steward), *term);
                 }
                 fleet.members(&members);
             }
-            Event::Act(s) => match self.stewards[s].fleet.next(0, |_| true) {
-                Some(Step::Lost) => self.stewards[s].over = true,
+            Event::TakeStep(s) => match self.stewards[s].fleet.next(0, |_| true) {
+                Some(Step::Lost) => self.stewards[s].stopped = true,
                 Some(Step::Give { slices, to }) => {
                     for &(slice, _) in &slices {
                         self.stewards[s].serves[slice] = None;
-                        self.send(s, &Message::Left(slice));
+                        self.send(s, &Message::Released(slice));
                     }
-                    self.stewards[s].asked = Some((Asked::Step(Step::Give { slices, to }), None));
+                    self.stewards[s].request = Some((Request::Step(Step::Give { slices, to }), None));
                 }
-                Some(step) => self.stewards[s].asked = Some((Asked::Step(step), None)),
+                Some(step) => self.stewards[s].request = Some((Request::Step(step), None)),
                 None => {}
             },
-            Event::Store(s) => self.carry_out(s),
-            Event::Hear(s) => self.hear(s),
+            Event::ExecuteRequest(s) => self.execute(s),
+            Event::ReceiveOutcome(s) => self.receive_outcome(s),
             Event::Revoke(s, slice) => {
-                if let Some((term, owner, waits)) = &mut self.stewards[s].serves[slice] {
-                    (*owner, *waits) = (None, (0..FORWARDERS).collect());
-                    let asked = Asked::Line(slice, *term, None);
-                    self.stewards[s].asked = Some((asked, None));
+                if let Some((term, owner, unanswered)) = &mut self.stewards[s].serves[slice] {
+                    (*owner, *unanswered) = (None, (0..FORWARDERS).collect());
+                    let request = Request::Line(slice, *term, None);
+                    self.stewards[s].request = Some((request, None));
                 }
             }
             Event::Grant(s, slice) => {
                 if let Some((term, _, _)) = self.stewards[s].serves[slice] {
-                    // Another than the last, so that a stale writer shows.
+                    // Another server than the last one, so that a stale writer is detected.
                     let server = (term % 2) as Server + 1;
-                    self.stewards[s].asked = Some((Asked::Line(slice, term, Some(server)), None));
+                    self.stewards[s].request = Some((Request::Line(slice, term, Some(server)), None));
                 }
             }
-            Event::Waited(s, slice, f) => {
-                if let Some((_, _, waits)) = &mut self.stewards[s].serves[slice] {
-                    waits.remove(&f);
+            Event::LeasePassed(s, slice, f) => {
+                if let Some((_, _, unanswered)) = &mut self.stewards[s].serves[slice] {
+                    unanswered.remove(&f);
                 }
             }
             Event::Deliver(s, f) => self.deliver(s, f),
@@ -141,85 +149,86 @@
                 let all: Vec<Message> = (0..SLICES)
                     .filter_map(|slice| {
                         let (term, owner, _) = self.stewards[s].serves[slice].as_ref()?;
-                        Some(Message::Charge(slice, *term, *owner))
+                        Some(Message::Assigned(slice, *term, *owner))
                     })
                     .collect();
-                // The whole table: what is not in it has been left.
+                // The whole table: slices that are not in it have been released.
                 for slice in 0..SLICES {
                     let lease = self.leases[s][f];
-                    let held = &mut self.held[f][slice];
-                    let told =
-                        all.iter().any(|message| matches!(message, Message::Charge(of, ..) if *of == slice));
-                    if held.steward == s && !told {
-                        held.left.get_or_insert(lease);
+                    let route = &mut self.routes[f][slice];
+                    let is_assigned = all
+                        .iter()
+                        .any(|message| matches!(message, Message::Assigned(of, ..) if *of == slice));
+                    if route.steward == s && !is_assigned {
+                        route.released_lease.get_or_insert(lease);
                     }
                 }
                 self.joined[s][f] = all.is_empty();
                 self.streams[s][f] = Some(all.into());
             }
-            Event::LeaseOver(s, f) => self.leases[s][f] = false,
-            Event::LeftOver(f, slice) => self.held[f][slice].left = Some(false),
-            Event::Over(s) => self.stewards[s].over = true,
-            Event::Expire(s) => _ = self.members.remove(&s),
+            Event::LeaseExpires(s, f) => self.leases[s][f] = false,
+            Event::ReleasedLeaseExpires(f, slice) => self.routes[f][slice].released_lease = Some(false),
+            Event::MembershipExpires(s) => self.stewards[s].stopped = true,
+            Event::MembershipExpiresAtStore(s) => _ = self.members.remove(&s),
         }
     }
 
-    /// The store's part: all or nothing, on condition of the asker's membership and what it compares.
-    pub(super) fn carry_out(&mut self, s: usize) {
-        let Some((asked, _)) = self.stewards[s].asked.clone() else { return };
-        let mut done = 0;
-        if self.members.contains(&s) || self.without == Without::Compare {
+    /// The store executes a steward's request atomically, if the steward is a member and the compared terms match.
+    pub(super) fn execute(&mut self, s: usize) {
+        let Some((request, _)) = self.stewards[s].request.clone() else { return };
+        let mut revision_written = 0;
+        if self.members.contains(&s) || self.removed == Removed::TermComparison {
             let revision = self.revision + 1;
-            let at = |slices: &[(usize, u64)], charge: &[(usize, u64); SLICES]| {
-                slices.iter().all(|&(slice, term)| charge[slice].1 == term)
+            let at = |slices: &[(usize, u64)], assignments: &[(usize, u64); SLICES]| {
+                slices.iter().all(|&(slice, term)| assignments[slice].1 == term)
             };
-            match &asked {
-                Asked::Step(Step::Take { slices, gone }) => {
+            match &request {
+                Request::Step(Step::Take { slices, gone }) => {
                     let are_gone = gone.iter().all(|&gone| !self.members.contains(&(gone as usize - 1)));
-                    if are_gone && at(slices, &self.charge) {
-                        slices.iter().for_each(|&(slice, _)| self.charge[slice] = (s, revision));
-                        done = revision;
+                    if are_gone && at(slices, &self.assignments) {
+                        slices.iter().for_each(|&(slice, _)| self.assignments[slice] = (s, revision));
+                        revision_written = revision;
                     }
                 }
-                Asked::Step(Step::Give { slices, to }) => {
+                Request::Step(Step::Give { slices, to }) => {
                     let to = *to as usize - 1;
-                    if self.members.contains(&to) && at(slices, &self.charge) {
-                        slices.iter().for_each(|&(slice, _)| self.charge[slice] = (to, revision));
-                        done = revision;
+                    if self.members.contains(&to) && at(slices, &self.assignments) {
+                        slices.iter().for_each(|&(slice, _)| self.assignments[slice] = (to, revision));
+                        revision_written = revision;
                     }
                 }
-                Asked::Step(_) => done = revision,
-                &Asked::Line(slice, term, owner) => {
-                    if self.charge[slice] == (s, term) || self.without == Without::Compare {
+                Request::Step(_) => revision_written = revision,
+                &Request::Line(slice, term, owner) => {
+                    if self.assignments[slice] == (s, term) || self.removed == Removed::TermComparison {
                         self.record[slice] = owner;
-                        done = revision;
+                        revision_written = revision;
                     }
                 }
             }
-            self.revision += u64::from(done > 0);
+            self.revision += u64::from(revision_written > 0);
         }
-        self.stewards[s].asked = Some((asked, Some(done)));
+        self.stewards[s].request = Some((request, Some(revision_written)));
     }
 
-    /// The asker learns what came of it, and says what forwarders are to know.
-    pub(super) fn hear(&mut self, s: usize) {
-        let Some((asked, Some(done))) = self.stewards[s].asked.take() else { return };
-        match asked {
-            Asked::Step(Step::Take { slices, .. }) if done > 0 => {
-                let slices: Vec<_> = slices.iter().map(|&(slice, _)| (slice, done)).collect();
+    /// A steward receives the outcome of its request and notifies forwarders.
+    pub(super) fn receive_outcome(&mut self, s: usize) {
+        let Some((request, Some(revision_written))) = self.stewards[s].request.take() else { return };
+        match request {
+            Request::Step(Step::Take { slices, .. }) if revision_written > 0 => {
+                let slices: Vec<_> = slices.iter().map(|&(slice, _)| (slice, revision_written)).collect();
                 self.serve(s, &slices);
             }
-            Asked::Step(Step::Serve { slices }) => self.serve(s, &slices),
-            Asked::Step(Step::Give { slices, to }) if done > 0 => {
-                self.stewards[s].fleet.gave(&slices, to, done);
+            Request::Step(Step::Serve { slices }) => self.serve(s, &slices),
+            Request::Step(Step::Give { slices, to }) if revision_written > 0 => {
+                self.stewards[s].fleet.gave(&slices, to, revision_written);
             }
-            Asked::Step(_) => {}
-            // A line that was not taken in: somebody else is in charge.
-            Asked::Line(..) if done == 0 => {
-                self.stewards[s].over = true;
+            Request::Step(_) => {}
+            // The line was refused: the slice is assigned to another steward.
+            Request::Line(..) if revision_written == 0 => {
+                self.stewards[s].stopped = true;
                 return;
             }
-            Asked::Line(slice, term, owner) => {
+            Request::Line(slice, term, owner) => {
                 if let Some((_, known, _)) = &mut self.stewards[s].serves[slice] {
                     *known = owner;
                 }
@@ -230,48 +239,51 @@
         self.stewards[s].fleet.done();
     }
 
+    /// A steward starts to serve slices and notifies forwarders.
     pub(super) fn serve(&mut self, s: usize, slices: &[(usize, u64)]) {
         self.stewards[s].fleet.served(slices);
         for &(slice, term) in slices {
             let owner = self.record[slice];
-            // What is on its way is waited for as from the start.
-            let waits = if owner.is_none() { (0..FORWARDERS).collect() } else { BTreeSet::new() };
-            self.stewards[s].serves[slice] = Some((term, owner, waits));
-            self.send(s, &Message::Charge(slice, term, owner));
+            // A moving slice waits for all forwarders again.
+            let unanswered = if owner.is_none() { (0..FORWARDERS).collect() } else { BTreeSet::new() };
+            self.stewards[s].serves[slice] = Some((term, owner, unanswered));
+            self.send(s, &Message::Assigned(slice, term, owner));
             if owner.is_none() {
                 self.send(s, &Message::Line(slice, term, None));
             }
         }
     }
 
+    /// A forwarder receives the next message of a stream.
     pub(super) fn deliver(&mut self, s: usize, f: usize) {
         let Some(message) = self.streams[s][f].as_mut().and_then(VecDeque::pop_front) else { return };
         self.joined[s][f] |= self.streams[s][f].as_ref().is_some_and(VecDeque::is_empty);
         let lease = self.leases[s][f];
         match message {
-            Message::Charge(slice, term, owner) => {
-                let held = &mut self.held[f][slice];
-                if term >= held.term || self.without == Without::Terms {
-                    *held = Held { term, steward: s, owner, left: None };
+            Message::Assigned(slice, term, owner) => {
+                let route = &mut self.routes[f][slice];
+                if term >= route.term || self.removed == Removed::Terms {
+                    *route = Route { term, steward: s, owner, released_lease: None };
                 }
             }
             Message::Line(slice, term, owner) => {
-                let held = &mut self.held[f][slice];
-                if (held.steward, held.term) == (s, term) || self.without == Without::Terms {
-                    (held.owner, held.steward, held.left) =
-                        (owner, s, held.left.filter(|_| held.steward == s));
+                let route = &mut self.routes[f][slice];
+                if (route.steward, route.term) == (s, term) || self.removed == Removed::Terms {
+                    (route.owner, route.steward, route.released_lease) =
+                        (owner, s, route.released_lease.filter(|_| route.steward == s));
                 }
-                // Applied or refused for a higher term: either way it writes to no earlier owner by this steward.
-                if owner.is_none() && !self.stewards[s].over {
-                    if let Some((_, None, waits)) = &mut self.stewards[s].serves[slice] {
-                        waits.remove(&f);
+                // Whether applied or refused for a higher term, the forwarder no longer writes to an earlier owner on behalf of
+                // this steward.
+                if owner.is_none() && !self.stewards[s].stopped {
+                    if let Some((_, None, unanswered)) = &mut self.stewards[s].serves[slice] {
+                        unanswered.remove(&f);
                     }
                 }
             }
-            Message::Left(slice) => {
-                let held = &mut self.held[f][slice];
-                if held.steward == s {
-                    held.left.get_or_insert(lease);
+            Message::Released(slice) => {
+                let route = &mut self.routes[f][slice];
+                if route.steward == s {
+                    route.released_lease.get_or_insert(lease);
                 }
             }
         }
--- a/crates/sharing/tests/explore/main.rs
+++ b/crates/sharing/tests/explore/main.rs
@@ -1,10 +1,11 @@
-//! Stewards that share, with a store and forwarders as small models: no order of events gives a slice two writers.
+//! Model check of slice sharing between stewards: no order of events gives a slice two writers.
 //!
-//! The stewards' steps are those of [`Fleet`]; everything else is a model. Each event happens at once and any that can
-//! happen may come next: a steward acts, the store carries something out, a message arrives, a lease ends. Times are
-//! left out but for what the leases promise (`docs/design/sharing.md`): a membership is over at its steward before it is
-//! over at the store; a forwarder that did not answer counts as waited for only once it holds no lease on the slice.
-//! A state is bad where a forwarder may write to a server though the record has granted the slice to another.
+//! The stewards' steps are those of [`Fleet`]; the store and the forwarders are small models. Events are atomic, and any
+//! possible event may come next: a steward takes a step, the store executes a request, a message arrives, a lease
+//! expires. Time is not modelled except for what leases guarantee (`docs/design/sharing.md`): a membership expires at its
+//! steward before it expires at the store; a forwarder that did not answer counts as waited for only once it holds no
+//! lease on the slice. A state is bad if a forwarder may write to a server while the record has granted the slice to
+//! another one.
 
 mod events;
 mod world;
@@ -12,26 +13,26 @@
 use std::collections::HashSet;
 use std::time::Instant;
 
-use world::{Event, Without, World, EVEN, FIRST, SLICES, STEWARDS};
+use world::{Event, Removed, World, ALL_AT_FIRST, ONE_EACH, SLICES, STEWARDS};
 
-/// All states that can be reached by so many events from a start; the shortest way to a bad one, if there is any.
+/// Visits all states within `depth` events of a start. Returns the shortest path to a bad state, if there is any.
 fn explore(start: &World, depth: usize, seen: &mut HashSet<u64>) -> Option<Vec<Event>> {
     let mut layer = vec![(start.clone(), Vec::new())];
-    seen.insert(start.number());
+    seen.insert(start.fingerprint());
     for _ in 0..depth {
         let mut next = Vec::new();
-        for (world, way) in layer {
+        for (world, path) in layer {
             for event in world.events() {
                 let mut after = world.clone();
-                after.happen(&event);
-                if !seen.insert(after.number()) {
+                after.apply(&event);
+                if !seen.insert(after.fingerprint()) {
                     continue;
                 }
-                let way: Vec<Event> = way.iter().cloned().chain([event]).collect();
-                if after.is_bad() {
-                    return Some(way);
+                let path: Vec<Event> = path.iter().cloned().chain([event]).collect();
+                if after.has_two_writers() {
+                    return Some(path);
                 }
-                next.push((after, way));
+                next.push((after, path));
             }
         }
         layer = next;
@@ -39,21 +40,24 @@
     None
 }
 
-/// Mostly what makes things go on, and trouble now and then: else hardly a way gets to a take-over and a grant behind it.
-/// By the seed, what one steward sends, or what it asks of the store, may be slow.
-fn draw(events: &[Event], seed: u64, chance: &mut fastrand::Rng) -> Event {
+/// Chooses the next event: mostly progress, and faults now and then, as otherwise hardly any path reaches a take-over with
+/// a grant after it. Depending on the seed, one steward's messages or store requests, or both, are slow.
+fn choose_event(events: &[Event], seed: u64, rng: &mut fastrand::Rng) -> Event {
     let (slow, slows) = (seed as usize / 2 % STEWARDS, seed / 6 % 3);
     let weight = |event: &Event| match event {
-        Event::Cut(..) | Event::Over(_) | Event::LeaseOver(..) | Event::LeftOver(..) => 1,
+        Event::Cut(..)
+        | Event::MembershipExpires(_)
+        | Event::LeaseExpires(..)
+        | Event::ReleasedLeaseExpires(..) => 1,
         Event::Deliver(steward, _) if *steward == slow && slows != 0 => 1,
-        Event::Store(steward) if *steward == slow && slows != 1 => 1,
-        Event::Look(_) | Event::Act(_) | Event::Echo(..) | Event::Rejoin(..) => 8,
+        Event::ExecuteRequest(steward) if *steward == slow && slows != 1 => 1,
+        Event::ReadStore(_) | Event::TakeStep(_) | Event::Echo(..) | Event::Rejoin(..) => 8,
         _ => 16,
     };
-    let mut left = chance.u32(0..events.iter().map(weight).sum());
-    let drawn = events.iter().find(|event| match left.checked_sub(weight(event)) {
+    let mut remaining = rng.u32(0..events.iter().map(weight).sum());
+    let drawn = events.iter().find(|event| match remaining.checked_sub(weight(event)) {
         Some(rest) => {
-            left = rest;
+            remaining = rest;
             false
         }
         None => true,
@@ -61,7 +65,7 @@
     drawn.unwrap_or(&events[0]).clone()
 }
 
-/// Long ways at random; the way to the first bad state, if one is met.
+/// Follows long random paths. Returns the seed and path of the first bad state, if one is reached.
 fn walk(
     start: impl Fn([usize; SLICES]) -> World,
     walks: impl Iterator<Item = u64>,
@@ -69,45 +73,49 @@
     seen: &mut HashSet<u64>,
 ) -> Option<(u64, Vec<Event>)> {
     for seed in walks {
-        let mut chance = fastrand::Rng::with_seed(seed);
-        let (mut world, mut way) = (start(if seed % 2 == 0 { EVEN } else { FIRST }), Vec::new());
+        let mut rng = fastrand::Rng::with_seed(seed);
+        let (mut world, mut path) = (start(if seed % 2 == 0 { ONE_EACH } else { ALL_AT_FIRST }), Vec::new());
         for _ in 0..steps {
             let events = world.events();
             if events.is_empty() {
                 break;
             }
-            let event = draw(&events, seed, &mut chance);
-            world.happen(&event);
-            way.push(event);
-            seen.insert(world.number());
-            if world.is_bad() {
-                return Some((seed, way));
+            let event = choose_event(&events, seed, &mut rng);
+            world.apply(&event);
+            path.push(event);
+            seen.insert(world.fingerprint());
+            if world.has_two_writers() {
+                return Some((seed, path));
             }
         }
     }
     None
 }
 
+/// Reads a number from an environment variable.
 fn setting(name: &str, otherwise: u64) -> u64 {
     std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(otherwise)
 }
 
-/// Every order of events up to a depth from the start, and from where a steward has revoked a slice and is gone.
+/// Tries every order of events up to a depth, from the initial state and from a state in which a steward has revoked a
+/// slice and crashed.
 #[test]
 fn no_order_of_events_gives_a_slice_two_writers() {
     let (began, mut seen) = (Instant::now(), HashSet::new());
     let depth = setting("DEPTH", 5) as usize;
-    let mut gone = World::new(Without::Nothing, EVEN);
+    let mut gone = World::new(Removed::NoSafeguard, ONE_EACH);
     let opening = [
         Event::Revoke(0, 0),
-        Event::Store(0),
-        Event::Hear(0),
+        Event::ExecuteRequest(0),
+        Event::ReceiveOutcome(0),
         Event::Deliver(0, 0),
-        Event::Over(0),
-        Event::Expire(0),
+        Event::MembershipExpires(0),
+        Event::MembershipExpiresAtStore(0),
     ];
-    opening.iter().for_each(|event| gone.happen(event));
-    for start in [World::new(Without::Nothing, EVEN), World::new(Without::Nothing, FIRST), gone] {
+    opening.iter().for_each(|event| gone.apply(event));
+    for start in
+        [World::new(Removed::NoSafeguard, ONE_EACH), World::new(Removed::NoSafeguard, ALL_AT_FIRST), gone]
+    {
         let bad = explore(&start, depth, &mut seen);
         assert!(bad.is_none(), "two writers by {bad:?}");
     }
@@ -115,60 +123,62 @@
 }
 
 #[test]
-fn no_long_way_gives_a_slice_two_writers() {
+fn no_long_random_path_gives_a_slice_two_writers() {
     let (began, mut seen) = (Instant::now(), HashSet::new());
     let walks = setting("WALKS", 3_000);
-    let bad = walk(|charge| World::new(Without::Nothing, charge), 0..walks, 120, &mut seen);
-    assert!(bad.is_none(), "two writers by seed and way {bad:?}");
+    let bad = walk(|assignments| World::new(Removed::NoSafeguard, assignments), 0..walks, 120, &mut seen);
+    assert!(bad.is_none(), "two writers by seed and path {bad:?}");
     println!("{walks} walks: {} states in {:.1} s", seen.len(), began.elapsed().as_secs_f64());
 }
 
-fn lying(charge: [usize; SLICES]) -> World {
-    World { lies: true, ..World::new(Without::Nothing, charge) }
+fn with_false_hints(assignments: [usize; SLICES]) -> World {
+    World { false_hints: true, ..World::new(Removed::NoSafeguard, assignments) }
 }
 
-/// A view that lies makes stewards look whenever it likes and say of themselves what isn't so, each told something else:
-/// slices move that need not, and still none has two writers.
+/// A view with false hints makes stewards read the store at any time and wrongly mark themselves as resting, each steward
+/// seeing different marks: slices move without need, but none gets two writers.
 #[test]
-fn no_view_that_lies_gives_a_slice_two_writers() {
+fn no_view_with_false_hints_gives_a_slice_two_writers() {
     let (began, mut seen) = (Instant::now(), HashSet::new());
     let depth = setting("DEPTH", 5) as usize - 1;
-    let bad = explore(&lying(EVEN), depth, &mut seen);
+    let bad = explore(&with_false_hints(ONE_EACH), depth, &mut seen);
     assert!(bad.is_none(), "two writers by {bad:?}");
     let walks = setting("WALKS", 3_000);
-    let bad = walk(lying, 0..walks, 120, &mut seen);
-    assert!(bad.is_none(), "two writers by seed and way {bad:?}");
+    let bad = walk(with_false_hints, 0..walks, 120, &mut seen);
+    assert!(bad.is_none(), "two writers by seed and path {bad:?}");
     println!("depth {depth}, {walks} walks: {} states in {:.1} s", seen.len(), began.elapsed().as_secs_f64());
-    // The lies do something: shares that are even are given away.
-    let mut told = lying(EVEN);
-    [Event::Believe(0, 1), Event::Act(0), Event::Store(0)].iter().for_each(|event| told.happen(event));
-    assert_ne!(told.charge[0].0, 0);
+    // False hints have an effect: slices are handed over although shares are even.
+    let mut after_hints = with_false_hints(ONE_EACH);
+    [Event::ReadFalseHints(0, 1), Event::TakeStep(0), Event::ExecuteRequest(0)]
+        .iter()
+        .for_each(|event| after_hints.apply(event));
+    assert_ne!(after_hints.assignments[0].0, 0);
 }
 
-/// For each safeguard left out, the seed that finds two writers first.
-const FOUND: [(Without, u64); 4] = [
-    (Without::Terms, 2635),
-    (Without::OwnLeases, 41018),
-    (Without::Hearing, 42361),
-    (Without::Compare, 2052),
+/// For each removed safeguard, the seed that finds two writers.
+const KNOWN_SEEDS: [(Removed, u64); 4] = [
+    (Removed::Terms, 2635),
+    (Removed::OwnLeases, 41018),
+    (Removed::ReleasesFirst, 42361),
+    (Removed::TermComparison, 2052),
 ];
 
-/// What the two above look for is there to be found: each safeguard is needed.
+/// Shows that the searches above can find two writers, and that each safeguard is needed.
 #[test]
 fn without_a_safeguard_a_slice_gets_two_writers() {
     let mut missed = 0;
-    for (without, found) in FOUND {
+    for (removed, found) in KNOWN_SEEDS {
         let (began, mut seen) = (Instant::now(), HashSet::new());
-        // The seed that found it first of all, or a search for it.
+        // Replays the known seed, or searches for one.
         let walks = if setting("SEARCH", 0) > 0 { 0..setting("SEARCH", 0) } else { found..found + 1 };
-        let found = walk(|charge| World::new(without, charge), walks, 120, &mut seen);
-        let Some((seed, way)) = found else {
-            println!("{without:?}: nothing found");
+        let found = walk(|assignments| World::new(removed, assignments), walks, 120, &mut seen);
+        let Some((seed, path)) = found else {
+            println!("{removed:?}: nothing found");
             missed += 1;
             continue;
         };
-        println!("{without:?}: seed {seed}, {} events, {:.1} s", way.len(), began.elapsed().as_secs_f64());
-        println!("{way:?}");
+        println!("{removed:?}: seed {seed}, {} events, {:.1} s", path.len(), began.elapsed().as_secs_f64());
+        println!("{path:?}");
     }
-    assert_eq!(missed, 0, "safeguards that nothing shows to be needed");
+    assert_eq!(missed, 0, "safeguards whose need was not shown");
 }
--- a/crates/sharing/tests/explore/world.rs
+++ b/crates/sharing/tests/explore/world.rs
@@ -1,4 +1,4 @@
-//! The state of the model: stewards, their store, forwarders and the streams between them, and what may not be in it.
+//! The state of the model (stewards, their store, forwarders and the streams between them) and its invariant.
 
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeSet, VecDeque};
@@ -14,166 +14,184 @@
 
 pub(super) type Server = u8;
 
-/// One slice each, or all with the first, who then gives.
-pub(super) const EVEN: [usize; SLICES] = [0, 1, 2];
+/// Initial assignment: one slice per steward.
+pub(super) const ONE_EACH: [usize; SLICES] = [0, 1, 2];
 
-pub(super) const FIRST: [usize; SLICES] = [0; SLICES];
+/// Initial assignment: all slices at the first steward, which then hands some over.
+pub(super) const ALL_AT_FIRST: [usize; SLICES] = [0; SLICES];
 
-/// What a steward sends; a forwarder takes in what each sends in order.
+/// A message from a steward; a forwarder receives the messages of each steward in order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Message {
-    Charge(usize, u64, Option<Server>),
+    Assigned(usize, u64, Option<Server>),
     Line(usize, u64, Option<Server>),
-    Left(usize),
+    Released(usize),
 }
 
-/// What a steward does at the store: asked for, then carried out, then heard of.
+/// A steward's request to the store: sent, then executed, then answered.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) enum Asked {
+pub(super) enum Request {
     Step(Step),
     Line(usize, u64, Option<Server>),
 }
 
-/// Term, owner, and who has not answered the revoke under way.
+/// Term, owner, and the forwarders that have not answered the revoke in progress.
 pub(super) type Served = (u64, Option<Server>, BTreeSet<usize>);
 
+/// A steward's state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Steward {
     pub(super) fleet: Fleet,
-    /// By its own clock its membership is over: it does nothing more.
-    pub(super) over: bool,
-    pub(super) asked: Option<(Asked, Option<u64>)>,
-    /// What it knows of the slices that it serves.
+    /// By its own clock its membership has stopped: it takes no more steps.
+    pub(super) stopped: bool,
+    pub(super) request: Option<(Request, Option<u64>)>,
+    /// The slices that it serves.
     pub(super) serves: [Option<Served>; SLICES],
 }
 
+/// A forwarder's entry for one slice.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Default)]
-pub(super) struct Held {
+pub(super) struct Route {
     pub(super) term: u64,
     pub(super) steward: usize,
     pub(super) owner: Option<Server>,
-    /// Its steward has left it: the lease that it had then, as long as it lasts.
-    pub(super) left: Option<bool>,
+    /// Set once the steward has released the slice: true as long as the lease held at that time lasts.
+    pub(super) released_lease: Option<bool>,
 }
 
-/// What is left out, to see that it is needed.
+/// A safeguard that is removed to show that it is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(super) enum Without {
-    Nothing,
-    /// Forwarders take in what carries a lower term.
+pub(super) enum Removed {
+    NoSafeguard,
+    /// Forwarders accept messages with a lower term.
     Terms,
-    /// A lease of any steward counts for any slice.
+    /// A lease from any steward is valid for every slice.
     OwnLeases,
-    /// A steward echoes those that have not heard yet what it has left.
-    Hearing,
-    /// The store lets a steward write whose charge has another term.
-    Compare,
+    /// A steward echoes forwarders that have not received its releases yet.
+    ReleasesFirst,
+    /// The store accepts requests of a steward whose assignment has another term.
+    TermComparison,
 }
 
+/// The state of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct World {
-    pub(super) without: Without,
-    /// Hints lie: each steward is told of any members, at any time, that they rest.
-    pub(super) lies: bool,
+    pub(super) removed: Removed,
+    /// False hints: each steward may at any time see any members marked as resting.
+    pub(super) false_hints: bool,
     pub(super) members: BTreeSet<usize>,
     pub(super) revision: u64,
-    pub(super) charge: [(usize, u64); SLICES],
+    pub(super) assignments: [(usize, u64); SLICES],
     pub(super) record: [Option<Server>; SLICES],
     pub(super) stewards: Vec<Steward>,
-    /// By steward and forwarder; none: no stream.
+    /// By steward and forwarder; `None` if there is no stream.
     pub(super) streams: Vec<Vec<Option<VecDeque<Message>>>>,
-    /// Whether a forwarder has applied all that there was on a stream at some time: it is echoed from then on.
+    /// By steward and forwarder: the forwarder has once applied all messages on its stream and may be echoed.
     pub(super) joined: Vec<Vec<bool>>,
     pub(super) leases: Vec<Vec<bool>>,
-    pub(super) held: Vec<Vec<Held>>,
+    pub(super) routes: Vec<Vec<Route>>,
 }
 
+/// An event of the model; the numbers are steward, slice and forwarder.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Event {
-    Look(usize),
-    /// The same, with a bit for each member that is said to rest.
-    Believe(usize, usize),
-    Act(usize),
-    Store(usize),
-    Hear(usize),
+    /// The steward reads the store.
+    ReadStore(usize),
+    /// The same, with a bit set for each member that is falsely marked as resting.
+    ReadFalseHints(usize, usize),
+    /// The steward takes its next step.
+    TakeStep(usize),
+    /// The store executes the steward's request.
+    ExecuteRequest(usize),
+    /// The steward receives the outcome of its request.
+    ReceiveOutcome(usize),
     Revoke(usize, usize),
     Grant(usize, usize),
-    Waited(usize, usize, usize),
+    /// A revoke no longer waits for a forwarder without a stream, as a lease has passed.
+    LeasePassed(usize, usize, usize),
     Deliver(usize, usize),
     Echo(usize, usize),
     Cut(usize, usize),
     Rejoin(usize, usize),
-    LeaseOver(usize, usize),
-    LeftOver(usize, usize),
-    Over(usize),
-    Expire(usize),
+    /// The forwarder's lease from the steward expires.
+    LeaseExpires(usize, usize),
+    /// The lease under which the forwarder (first number) holds a released slice expires.
+    ReleasedLeaseExpires(usize, usize),
+    /// The membership expires at the steward.
+    MembershipExpires(usize),
+    /// The membership expires at the store.
+    MembershipExpiresAtStore(usize),
 }
 
-pub(super) fn life(steward: usize) -> Life {
+pub(super) fn incarnation(steward: usize) -> Life {
     steward as Life + 1
 }
 
 impl World {
-    /// These stewards in charge of the slices, all at server 0, every forwarder joined everywhere and with a lease.
-    pub(super) fn new(without: Without, in_charge: [usize; SLICES]) -> World {
-        let members: Vec<(Life, bool)> = (0..STEWARDS).map(|steward| (life(steward), false)).collect();
+    /// The initial state: slices assigned as given, all granted to server 0, every forwarder joined at every steward and
+    /// with a lease from it.
+    pub(super) fn new(removed: Removed, assigned_to: [usize; SLICES]) -> World {
+        let members: Vec<(Life, bool)> = (0..STEWARDS).map(|steward| (incarnation(steward), false)).collect();
         let steward = |steward: usize| {
-            let mut fleet = Fleet::new(0, life(steward), SLICES, 0, 0);
-            (0..SLICES).for_each(|slice| fleet.charge(slice, life(in_charge[slice]), 1));
+            let mut fleet = Fleet::new(0, incarnation(steward), SLICES, 0, 0);
+            (0..SLICES).for_each(|slice| fleet.charge(slice, incarnation(assigned_to[slice]), 1));
             fleet.members(&members);
             let mut serves = [const { None }; SLICES];
-            for slice in (0..SLICES).filter(|&slice| in_charge[slice] == steward) {
+            for slice in (0..SLICES).filter(|&slice| assigned_to[slice] == steward) {
                 fleet.served(&[(slice, 1)]);
                 serves[slice] = Some((1, Some(0), BTreeSet::new()));
             }
-            Steward { fleet, over: false, asked: None, serves }
+            Steward { fleet, stopped: false, request: None, serves }
         };
-        let held = |slice| Held { term: 1, steward: in_charge[slice], owner: Some(0), left: None };
+        let route =
+            |slice| Route { term: 1, steward: assigned_to[slice], owner: Some(0), released_lease: None };
         World {
-            without,
-            lies: false,
+            removed,
+            false_hints: false,
             members: (0..STEWARDS).collect(),
             revision: 1,
-            charge: std::array::from_fn(|slice| (in_charge[slice], 1)),
+            assignments: std::array::from_fn(|slice| (assigned_to[slice], 1)),
             record: [Some(0); SLICES],
             stewards: (0..STEWARDS).map(steward).collect(),
             streams: vec![vec![Some(VecDeque::new()); FORWARDERS]; STEWARDS],
             joined: vec![vec![true; FORWARDERS]; STEWARDS],
             leases: vec![vec![true; FORWARDERS]; STEWARDS],
-            held: vec![(0..SLICES).map(held).collect(); FORWARDERS],
+            routes: vec![(0..SLICES).map(route).collect(); FORWARDERS],
         }
     }
 
-    /// Where a forwarder may write a slice to now.
+    /// Returns the server that a forwarder may write a slice to now.
     pub(super) fn writes(&self, forwarder: usize, slice: usize) -> Option<Server> {
-        let held = &self.held[forwarder][slice];
-        let leased = match held.left {
-            _ if self.without == Without::OwnLeases => {
+        let route = &self.routes[forwarder][slice];
+        let leased = match route.released_lease {
+            _ if self.removed == Removed::OwnLeases => {
                 (0..STEWARDS).any(|steward| self.leases[steward][forwarder])
             }
-            Some(left) => left,
-            None => self.leases[held.steward][forwarder],
+            Some(released_lease) => released_lease,
+            None => self.leases[route.steward][forwarder],
         };
-        held.owner.filter(|_| leased)
+        route.owner.filter(|_| leased)
     }
 
-    /// Whether a lease has passed since a steward came into charge, and since the break of a forwarder's stream: what
-    /// others echoed the forwarder before is over, unless they still may echo it, as they have left nothing unheard.
-    pub(super) fn has_waited(&self, s: usize, slice: usize, f: usize) -> bool {
-        let unheard = |x: usize| match &self.streams[x][f] {
+    /// Returns true if a lease has passed since the slice was assigned to steward `s` and since forwarder `f` lost its
+    /// stream. The forwarder's leases from other stewards have then expired, except those of stewards that may still echo
+    /// it because it has received all their releases.
+    pub(super) fn lease_has_passed(&self, s: usize, slice: usize, f: usize) -> bool {
+        let may_not_echo = |x: usize| match &self.streams[x][f] {
             None => true,
             Some(stream) => {
-                let echoed = self.without == Without::Hearing;
-                self.stewards[x].over || !echoed && stream.contains(&Message::Left(slice))
+                let echoed = self.removed == Removed::ReleasesFirst;
+                self.stewards[x].stopped || !echoed && stream.contains(&Message::Released(slice))
             }
         };
         self.streams[s][f].is_none()
-            && self.held[f][slice].left != Some(true)
-            && (self.without == Without::Hearing || self.writes(f, slice).is_none())
-            && (0..STEWARDS).all(|x| !self.leases[x][f] || x != s && !unheard(x))
+            && self.routes[f][slice].released_lease != Some(true)
+            && (self.removed == Removed::ReleasesFirst || self.writes(f, slice).is_none())
+            && (0..STEWARDS).all(|x| !self.leases[x][f] || x != s && !may_not_echo(x))
     }
 
-    pub(super) fn is_bad(&self) -> bool {
+    /// Returns true if a forwarder may write a slice to another server than the one it is granted to.
+    pub(super) fn has_two_writers(&self) -> bool {
         (0..SLICES).any(|slice| {
             let granted = self.record[slice];
             let writers = (0..FORWARDERS).filter_map(|forwarder| self.writes(forwarder, slice));
@@ -181,7 +199,8 @@
         })
     }
 
-    pub(super) fn number(&self) -> u64 {
+    /// Returns a hash that identifies the state.
+    pub(super) fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         self.hash(&mut hasher);
         hasher.finish()
