--- a/crates/protocol/src/read.rs
+++ b/crates/protocol/src/read.rs
@@ -1,29 +1,29 @@
-//! Reading a body field by field.
+//! Decoding a body field by field.
 
 use std::fmt;
 
-/// Why a body can't be read. Nothing of it is to be used further.
+/// The reason for which a body can't be decoded. The rest of the body must not be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// The body has no kind.
     Empty,
-    /// A field ends past the body, or a number past its field.
+    /// A field extends past the body, or a number past its field.
     Cut,
     /// A number has more than 64 bits.
     TooLarge,
-    /// A text is not UTF-8.
+    /// Text is not valid UTF-8.
     NotText,
-    /// A field lacks a number that its tag asks for.
+    /// A field with this tag lacks a required number.
     Missing(u8),
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Fault::Empty => write!(f, "a frame without a kind"),
-            Fault::Cut => write!(f, "a field that ends past its frame"),
-            Fault::TooLarge => write!(f, "a number of more than 64 bits"),
-            Fault::NotText => write!(f, "a text that is not UTF-8"),
+            Fault::Empty => write!(f, "frame has no kind"),
+            Fault::Cut => write!(f, "field or number extends past its end"),
+            Fault::TooLarge => write!(f, "number exceeds 64 bits"),
+            Fault::NotText => write!(f, "text is not valid UTF-8"),
             Fault::Missing(tag) => write!(f, "field {tag} lacks a number"),
         }
     }
@@ -33,14 +33,14 @@
 
 fn varint(from: &mut &[u8]) -> Result<u64, Fault> {
     let mut value = 0u64;
-    for place in 0..10 {
+    for index in 0..10 {
         let (&byte, rest) = from.split_first().ok_or(Fault::Cut)?;
         *from = rest;
         let bits = u64::from(byte & 0x7f);
-        if place == 9 && bits > 1 {
+        if index == 9 && bits > 1 {
             return Err(Fault::TooLarge);
         }
-        value |= bits << (7 * place);
+        value |= bits << (7 * index);
         if byte < 0x80 {
             return Ok(value);
         }
@@ -48,7 +48,7 @@
     Err(Fault::TooLarge)
 }
 
-/// A body being read. Borrows; allocates nothing.
+/// A body being decoded. Borrows its bytes and doesn't allocate.
 #[derive(Clone, Debug)]
 pub struct Body<'a> {
     kind: u8,
@@ -56,16 +56,18 @@
 }
 
 impl<'a> Body<'a> {
+    /// Starts decoding a body. Fails if it is empty.
     pub fn new(bytes: &'a [u8]) -> Result<Body<'a>, Fault> {
         let (&kind, rest) = bytes.split_first().ok_or(Fault::Empty)?;
         Ok(Body { kind, rest })
     }
 
+    /// Returns the frame's kind.
     pub fn kind(&self) -> u8 {
         self.kind
     }
 
-    /// The next field's tag and content, or none at the end.
+    /// Returns the next field's tag and content, or `None` at the end.
     pub fn field(&mut self) -> Result<Option<(u8, Numbers<'a>)>, Fault> {
         let Some((&tag, mut rest)) = self.rest.split_first() else { return Ok(None) };
         let length = usize::try_from(varint(&mut rest)?).map_err(|_| Fault::Cut)?;
@@ -78,7 +80,7 @@
     }
 }
 
-/// The content of a field: a row of numbers, with a text at its end where the tag says so.
+/// The content of a field: numbers, followed by text if the tag has any.
 #[derive(Clone, Debug)]
 pub struct Numbers<'a> {
     tag: u8,
@@ -86,7 +88,7 @@
 }
 
 impl<'a> Numbers<'a> {
-    /// The next number; a field that has none left is a fault.
+    /// Returns the next number. Fails if there is none left.
     pub fn number(&mut self) -> Result<u64, Fault> {
         if self.rest.is_empty() {
             return Err(Fault::Missing(self.tag));
@@ -94,22 +96,22 @@
         varint(&mut self.rest)
     }
 
-    /// The next number as an index; one that no index can be is a fault.
+    /// Returns the next number as an index. Fails if it does not fit.
     pub fn index(&mut self) -> Result<usize, Fault> {
         usize::try_from(self.number()?).map_err(|_| Fault::TooLarge)
     }
 
-    /// The next number as a time, in tenths of a millisecond.
+    /// Returns the next number as a time, in units of 0.1 ms.
     pub fn time(&mut self) -> Result<i64, Fault> {
         i64::try_from(self.number()?).map_err(|_| Fault::TooLarge)
     }
 
-    /// The next number as a fraction, sent in millionths.
+    /// Returns the next number, sent in millionths, as a fraction.
     pub fn fraction(&mut self) -> Result<f64, Fault> {
-        Ok(self.number()? as f64 / crate::MILLION)
+        Ok(self.number()? as f64 / crate::MILLIONTHS_PER_UNIT)
     }
 
-    /// All that is left, as text.
+    /// Returns the rest of the field as text.
     pub fn text(self) -> Result<&'a str, Fault> {
         std::str::from_utf8(self.rest).map_err(|_| Fault::NotText)
     }
--- a/crates/protocol/src/write.rs
+++ b/crates/protocol/src/write.rs
@@ -1,8 +1,8 @@
-//! Writing a frame field by field.
+//! Encoding a frame field by field.
 
 use bytes::{BufMut, Bytes, BytesMut};
 
-/// A body being written. The codec puts its length before it.
+/// A body being encoded. The codec prepends its length.
 #[derive(Clone, Debug)]
 pub struct Frame {
     body: BytesMut,
@@ -21,23 +21,24 @@
 }
 
 impl Frame {
+    /// Starts a body of this kind.
     pub fn new(kind: u8) -> Frame {
         let mut body = BytesMut::with_capacity(64);
         body.put_u8(kind);
         Frame { body }
     }
 
-    /// A row of fields without a kind, to be put into frames as it is.
+    /// Starts a sequence of fields without a kind, for [`Frame::append`].
     pub fn fields() -> Frame {
         Frame { body: BytesMut::new() }
     }
 
-    /// A field of numbers.
+    /// Adds a field of numbers.
     pub fn numbers(&mut self, tag: u8, numbers: &[u64]) -> &mut Frame {
         self.text(tag, numbers, "")
     }
 
-    /// A field of numbers with a text behind them.
+    /// Adds a field of numbers followed by text.
     pub fn text(&mut self, tag: u8, numbers: &[u64], text: &str) -> &mut Frame {
         let length: usize = numbers.iter().map(|&n| varint_length(n)).sum::<usize>() + text.len();
         self.body.put_u8(tag);
@@ -47,26 +48,29 @@
         self
     }
 
-    /// Fields written before, by [`Frame::fields`].
+    /// Adds fields that were encoded with [`Frame::fields`].
     pub fn append(&mut self, fields: &[u8]) -> &mut Frame {
         self.body.put_slice(fields);
         self
     }
 
+    /// Returns the size so far, in bytes.
     pub fn len(&self) -> usize {
         self.body.len()
     }
 
+    /// Returns true if nothing has been written yet.
     pub fn is_empty(&self) -> bool {
         self.body.is_empty()
     }
 
+    /// Returns the encoded bytes and leaves the frame empty.
     pub fn finish(&mut self) -> Bytes {
         self.body.split().freeze()
     }
 }
 
-/// A fraction in millionths; what is below 0 or no number counts as 0.
+/// Converts a fraction to millionths; negative numbers and NaN become 0.
 pub fn millionths(share: f64) -> u64 {
-    (share * crate::MILLION).round() as u64
+    (share * crate::MILLIONTHS_PER_UNIT).round() as u64
 }
