--- a/crates/protocol/src/write.rs
+++ b/crates/protocol/src/write.rs
@@ -70,7 +70,7 @@
     }
 }
 
-/// Converts a fraction to millionths; negative numbers and NaN become 0.
+/// Converts a fraction to millionths; a number below 0 and NaN count as 0.
 pub fn millionths(share: f64) -> u64 {
     (share * crate::MILLIONTHS_PER_UNIT).round() as u64
 }
