--- a/crates/host/src/host/messages.rs
+++ b/crates/host/src/host/messages.rs
@@ -61,11 +61,11 @@
         entry.awaited_end = Some((end, now));
         self.followers += 1;
         let welcome = self.welcome();
-        let read = self.table.read(&self.servers, end);
+        let snapshot = self.table.snapshot(&self.servers, end);
         if let Some(entry) = self.streams.get_mut(&stream) {
             entry.proxy = Some(proxy);
             entry.priority_frames.push_back(welcome);
-            entry.priority_frames.extend(read);
+            entry.priority_frames.extend(snapshot);
         }
         self.write_priority(now, stream);
         Ok(())
--- a/crates/host/src/table.rs
+++ b/crates/host/src/table.rs
@@ -106,7 +106,7 @@
     global_ratios: Vec<(u32, f64)>,
     withdrawn: Vec<usize>,
     /// The encoded table for joining proxies, cached until the next change.
-    read: Option<Vec<Bytes>>,
+    snapshot: Option<Vec<Bytes>>,
 }
 
 /// Appends an admission ratio and removes the older ones that it fully replaces.
@@ -128,7 +128,7 @@
 
     /// Applies one durable change.
     pub fn apply(&mut self, change: &Change) {
-        self.read = None;
+        self.snapshot = None;
         match *change {
             Change::Route { slice, server, weight } => self.routes[slice].owner = Some((server, weight)),
             Change::Drop { slice } => {
@@ -153,13 +153,13 @@
         }
     }
 
-    /// Returns the whole table as frames of about `PART` bytes. The last one carries `end`, the number of the first
+    /// Returns the whole table as frames of about `PART_BYTES` bytes. The last one carries `end`, the number of the first
     /// update that the table does not include.
-    pub fn read(&mut self, servers: &Servers, end: u64) -> Vec<Bytes> {
+    pub fn snapshot(&mut self, servers: &Servers, end: u64) -> Vec<Bytes> {
         // Small enough that other streams are served between two parts, large enough to keep the frame overhead low.
-        const PART: usize = 16 * 1024;
-        if let Some(read) = &self.read {
-            return read.clone();
+        const PART_BYTES: usize = 16 * 1024;
+        if let Some(snapshot) = &self.snapshot {
+            return snapshot.clone();
         }
         let mut parts = Vec::new();
         let mut frame = Frame::new(kind::READ);
@@ -190,12 +190,12 @@
                 }
                 change => change.write(servers, &mut frame),
             }
-            if frame.len() >= PART {
+            if frame.len() >= PART_BYTES {
                 parts.push(std::mem::replace(&mut frame, Frame::new(kind::READ)).finish());
             }
         }
         parts.push(frame.numbers(tag::END, &[end]).finish());
-        self.read = Some(parts.clone());
+        self.snapshot = Some(parts.clone());
         parts
     }
 }
--- a/crates/protocol/src/read.rs
+++ b/crates/protocol/src/read.rs
@@ -8,11 +8,11 @@
     /// The body has no kind.
     Empty,
     /// A field extends past the body, or a number past its field.
-    Cut,
+    Truncated,
     /// A number has more than 64 bits.
-    TooLarge,
+    Overflow,
     /// Text is not valid UTF-8.
-    NotText,
+    NotUtf8,
     /// A field with this tag lacks a required number.
     Missing(u8),
 }
@@ -21,9 +21,9 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Fault::Empty => write!(f, "frame has no kind"),
-            Fault::Cut => write!(f, "field or number extends past its end"),
-            Fault::TooLarge => write!(f, "number exceeds 64 bits"),
-            Fault::NotText => write!(f, "text is not valid UTF-8"),
+            Fault::Truncated => write!(f, "field or number extends past its end"),
+            Fault::Overflow => write!(f, "number exceeds 64 bits"),
+            Fault::NotUtf8 => write!(f, "text is not valid UTF-8"),
             Fault::Missing(tag) => write!(f, "field {tag} lacks a number"),
         }
     }
@@ -34,18 +34,18 @@
 fn varint(from: &mut &[u8]) -> Result<u64, Fault> {
     let mut value = 0u64;
     for index in 0..10 {
-        let (&byte, rest) = from.split_first().ok_or(Fault::Cut)?;
+        let (&byte, rest) = from.split_first().ok_or(Fault::Truncated)?;
         *from = rest;
         let bits = u64::from(byte & 0x7f);
         if index == 9 && bits > 1 {
-            return Err(Fault::TooLarge);
+            return Err(Fault::Overflow);
         }
         value |= bits << (7 * index);
         if byte < 0x80 {
             return Ok(value);
         }
     }
-    Err(Fault::TooLarge)
+    Err(Fault::Overflow)
 }
 
 /// A body being decoded. Borrows its bytes and doesn't allocate.
@@ -70,9 +70,9 @@
     /// Returns the next field's tag and content, or `None` at the end.
     pub fn field(&mut self) -> Result<Option<(u8, Numbers<'a>)>, Fault> {
         let Some((&tag, mut rest)) = self.rest.split_first() else { return Ok(None) };
-        let length = usize::try_from(varint(&mut rest)?).map_err(|_| Fault::Cut)?;
+        let length = usize::try_from(varint(&mut rest)?).map_err(|_| Fault::Truncated)?;
         if length > rest.len() {
-            return Err(Fault::Cut);
+            return Err(Fault::Truncated);
         }
         let (content, rest) = rest.split_at(length);
         self.rest = rest;
@@ -98,12 +98,12 @@
 
     /// Returns the next number as an index. Fails if it does not fit.
     pub fn index(&mut self) -> Result<usize, Fault> {
-        usize::try_from(self.number()?).map_err(|_| Fault::TooLarge)
+        usize::try_from(self.number()?).map_err(|_| Fault::Overflow)
     }
 
     /// Returns the next number as a time, in units of 0.1 ms.
     pub fn time(&mut self) -> Result<i64, Fault> {
-        i64::try_from(self.number()?).map_err(|_| Fault::TooLarge)
+        i64::try_from(self.number()?).map_err(|_| Fault::Overflow)
     }
 
     /// Returns the next number, sent in millionths, as a fraction.
@@ -113,6 +113,6 @@
 
     /// Returns the rest of the field as text.
     pub fn text(self) -> Result<&'a str, Fault> {
-        std::str::from_utf8(self.rest).map_err(|_| Fault::NotText)
+        std::str::from_utf8(self.rest).map_err(|_| Fault::NotUtf8)
     }
 }
