--- a/crates/host/tests/leases.rs
+++ b/crates/host/tests/leases.rs
@@ -45,10 +45,13 @@
     /// Owner, and whether the line's weight admits writes.
     owner: Vec<Option<(String, bool)>>,
     open: Vec<bool>,
+    /// The table that is being read.
     new_owner: Vec<Option<(String, bool)>>,
     new_open: Vec<bool>,
     names: BTreeMap<u64, String>,
+    /// Expiry of the lease.
     lease: Time,
+    /// Paused until this time.
     paused: Time,
 }
 
@@ -81,7 +84,7 @@
     event_count: u64,
     wake: Time,
     health: [Health; 3],
-    /// When a proxy last could write a slice to a server.
+    /// The last time at which any proxy could write a slice to a server.
     last_writes: BTreeMap<(usize, String), Time>,
     grants: u64,
 }
@@ -119,6 +122,7 @@
         world
     }
 
+    /// Schedules an event.
     fn at(&mut self, time: Time, event: Event) {
         self.event_count += 1;
         self.queue.push(Reverse((time.max(self.now), self.event_count, event)));
@@ -133,6 +137,7 @@
         self.at(at, event);
     }
 
+    /// Passes the complete server list to the host.
     fn list(&mut self) {
         self.host.list_begin(Scope::Whole);
         for (id, health) in SERVERS.iter().zip(self.health) {
@@ -245,6 +250,7 @@
         }
     }
 
+    /// Writes routes to the disk.
     fn commit(&mut self, routes: &[(usize, Option<String>, u64)]) {
         for (slice, owner, weight) in routes {
             match owner {
@@ -254,6 +260,7 @@
         }
     }
 
+    /// A proxy opens a stream, unless it has one.
     fn dial(&mut self, proxy: usize) {
         if self.proxies[proxy].stream != 0 {
             return;
@@ -271,6 +278,7 @@
         self.at(self.now, Event::Ping { proxy, stream });
     }
 
+    /// A proxy handles a received frame.
     fn proxy_receives(&mut self, proxy: usize, stream: u64, body: &[u8]) {
         let entry = &mut self.proxies[proxy];
         let mut body = Body::new(body).expect("valid frame");
@@ -281,30 +289,30 @@
             let is_table = frame_kind == kind::READ;
             match tag {
                 tag::SERVER => {
-                    let server = field.number().expect("a number");
-                    entry.names.insert(server, field.text().expect("an id").to_owned());
+                    let server = field.number().expect("valid number");
+                    entry.names.insert(server, field.text().expect("valid id").to_owned());
                 }
                 tag::LINE => {
                     let (slice, server) =
-                        (field.index().expect("a slice"), field.number().expect("a server"));
-                    let weight = field.number().expect("a weight");
+                        (field.index().expect("valid slice"), field.number().expect("valid server"));
+                    let weight = field.number().expect("valid weight");
                     let owner = entry.names.get(&server).map(|name| (name.clone(), weight >= 1_000_000));
                     *(if is_table { &mut entry.new_owner[slice] } else { &mut entry.owner[slice] }) = owner;
                 }
                 tag::DROP => {
-                    let slice = field.index().expect("a slice");
+                    let slice = field.index().expect("valid slice");
                     (entry.owner[slice], entry.open[slice]) = (None, true);
                 }
                 tag::LEVEL => {
                     let level =
-                        [field.number(), field.number(), field.number()].map(|n| n.expect("a number"));
+                        [field.number(), field.number(), field.number()].map(|n| n.expect("valid number"));
                     if level[1] == 0 || level[1] & 2 != 0 {
                         let slice = level[0] as usize - 1;
                         (if is_table { &mut entry.new_open } else { &mut entry.open })[slice] = level[2] > 0;
                     }
                 }
                 tag::END | tag::MARK => {
-                    answer.numbers(tag, &[field.number().expect("a number")]);
+                    answer.numbers(tag, &[field.number().expect("valid number")]);
                     needs_answer = true;
                     if is_table {
                         (entry.owner, entry.open) = (entry.new_owner.clone(), entry.new_open.clone());
@@ -312,7 +320,7 @@
                     }
                 }
                 tag::SENT if frame_kind == kind::ECHO && entry.has_table => {
-                    entry.lease = entry.lease.max(field.time().expect("a time") + LEASE);
+                    entry.lease = entry.lease.max(field.time().expect("valid time") + LEASE);
                 }
                 _ => {}
             }
@@ -370,6 +378,7 @@
         }
     }
 
+    /// Injects a random fault and schedules the next one.
     fn inject_fault(&mut self) {
         let delay = self.rng.i64(0..SECOND);
         self.at(self.now + delay, Event::InjectFault);
@@ -414,6 +423,7 @@
         }
     }
 
+    /// Removes the frames of a stream that are in transit.
     fn drop_in_transit(&mut self, stream: u64) {
         let on = |event: &Event| match event {
             Event::ToHost { stream: of, .. } | Event::ToProxy { stream: of, .. } => *of == stream,
@@ -422,6 +432,7 @@
         self.queue.retain(|Reverse((_, _, event))| !on(event));
     }
 
+    /// Kills the steward and starts it from the record on disk.
     fn restart(&mut self) {
         self.incarnation += 1;
         self.host_paused = self.now;
--- a/crates/sharing/src/counted.rs
+++ b/crates/sharing/src/counted.rs
@@ -60,31 +60,31 @@
 
     #[test]
     fn the_count_follows_view_and_store_once_they_agree_for_long_enough() {
-        let mut counted = Counted::new(3);
-        assert_eq!(counted.look(0, Some(5), Some(5)), 3);
-        assert_eq!(counted.look(14 * SECOND, Some(5), Some(5)), 3);
-        assert_eq!(counted.look(15 * SECOND, Some(5), Some(5)), 5);
-        assert_eq!(counted.look(16 * SECOND, Some(1), Some(1)), 5);
-        assert_eq!(counted.look(31 * SECOND, Some(1), Some(1)), 2, "not below half of the planned number");
-        assert_eq!(counted.look(32 * SECOND, Some(9), Some(9)), 2);
-        assert_eq!(counted.look(47 * SECOND, Some(9), Some(9)), 6, "not above twice the planned number");
+        let mut stewards = Counted::new(3);
+        assert_eq!(stewards.look(0, Some(5), Some(5)), 3);
+        assert_eq!(stewards.look(14 * SECOND, Some(5), Some(5)), 3);
+        assert_eq!(stewards.look(15 * SECOND, Some(5), Some(5)), 5);
+        assert_eq!(stewards.look(16 * SECOND, Some(1), Some(1)), 5);
+        assert_eq!(stewards.look(31 * SECOND, Some(1), Some(1)), 2, "not below half of the planned number");
+        assert_eq!(stewards.look(32 * SECOND, Some(9), Some(9)), 2);
+        assert_eq!(stewards.look(47 * SECOND, Some(9), Some(9)), 6, "not above twice the planned number");
     }
 
     #[test]
     fn a_split_an_unsettled_view_or_an_unavailable_store_does_not_change_the_count() {
-        let mut counted = Counted::new(5);
+        let mut stewards = Counted::new(5);
         for second in 0..100 {
             let now = second * SECOND;
             // The store still has the members of the other side.
-            assert_eq!(counted.look(now, Some(2), Some(5)), 5);
+            assert_eq!(stewards.look(now, Some(2), Some(5)), 5);
         }
         for second in 100..200 {
             let now = second * SECOND;
             let settled = (second % 10 != 0).then_some(4);
-            assert_eq!(counted.look(now, settled, Some(4)), 5, "the view was never settled for long enough");
+            assert_eq!(stewards.look(now, settled, Some(4)), 5, "the view was never settled for long enough");
         }
         for second in 200..300 {
-            assert_eq!(counted.look(second * SECOND, Some(4), None), 5);
+            assert_eq!(stewards.look(second * SECOND, Some(4), None), 5);
         }
     }
 
@@ -94,12 +94,12 @@
             planned in 0..70usize,
             looks in prop::collection::vec((0..200 * SECOND, prop::option::of(0..99usize), prop::option::of(0..99usize)), 0..50),
         ) {
-            let mut counted = Counted::new(planned);
-            let (least, most) = counted.bounds();
+            let mut stewards = Counted::new(planned);
+            let (least, most) = stewards.bounds();
             let mut now = 0;
             for (span, view, store) in looks {
                 now += span;
-                let count = counted.look(now, view, store);
+                let count = stewards.look(now, view, store);
                 prop_assert!(count >= 1 && (least..=most).contains(&count));
             }
         }
--- a/crates/sharing/src/fleet.rs
+++ b/crates/sharing/src/fleet.rs
@@ -22,6 +22,7 @@
     Lost,
 }
 
+/// The steward that a slice is assigned to, and the term of the assignment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Assignment {
     steward: Life,
@@ -37,17 +38,20 @@
     assignments: Vec<Option<Assignment>>,
     /// Per slice: the term under which this steward serves it, or 0 if it does not.
     served_terms: Vec<u64>,
-    /// A step is in progress.
     step_in_progress: bool,
     /// No slice is taken over before this time, so that stewards which start or return together see each other first.
     take_over_at: Time,
+    /// When the next round of handing over may start.
     hand_over_at: Time,
+    /// Minimum interval between two rounds of handing over.
     pace: Time,
     /// Since when this steward is leaving.
     leaving_since: Option<Time>,
     /// Without new information there is nothing to do before this time.
     next_check: Time,
+    /// The members have been read from the store.
     has_members: bool,
+    /// New information arrived that may lead to a step.
     decision_due: bool,
 }
 
--- a/crates/sharing/src/useful.rs
+++ b/crates/sharing/src/useful.rs
@@ -7,7 +7,7 @@
 
 use crate::{Life, Time};
 
-/// Decides whether this steward rests.
+/// Decides from reachability whether this steward rests.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Useful {
     resting: bool,
@@ -80,46 +80,46 @@
 
     #[test]
     fn a_steward_that_reaches_less_than_half_rests_and_returns_after_a_longer_time() {
-        let mut useful = Useful::default();
-        assert!(!useful.look(0, 4, Some(&[10, 10, 9])));
-        assert!(!useful.look(2 * SECOND, 4, Some(&[10, 10, 9])));
-        assert!(useful.look(3 * SECOND, 4, Some(&[10, 10, 9])));
+        let mut detector = Useful::default();
+        assert!(!detector.look(0, 4, Some(&[10, 10, 9])));
+        assert!(!detector.look(2 * SECOND, 4, Some(&[10, 10, 9])));
+        assert!(detector.look(3 * SECOND, 4, Some(&[10, 10, 9])));
         assert!(
-            useful.look(20 * SECOND, 6, Some(&[10, 10, 9])),
+            detector.look(20 * SECOND, 6, Some(&[10, 10, 9])),
             "the state is kept between half and three quarters"
         );
-        assert!(useful.look(21 * SECOND, 8, Some(&[10, 10, 9])));
-        assert!(useful.look(25 * SECOND, 6, Some(&[10, 10, 9])), "reachability was good only for a moment");
-        assert!(useful.look(26 * SECOND, 8, Some(&[10, 10, 9])));
-        assert!(!useful.look(36 * SECOND, 8, Some(&[10, 10, 9])));
+        assert!(detector.look(21 * SECOND, 8, Some(&[10, 10, 9])));
+        assert!(detector.look(25 * SECOND, 6, Some(&[10, 10, 9])), "reachability was good only for a moment");
+        assert!(detector.look(26 * SECOND, 8, Some(&[10, 10, 9])));
+        assert!(!detector.look(36 * SECOND, 8, Some(&[10, 10, 9])));
     }
 
     #[test]
     fn a_fault_of_all_stewards_or_a_single_outlier_report_makes_no_steward_rest() {
-        let mut useful = Useful::default();
+        let mut detector = Useful::default();
         for second in 0..60 {
-            assert!(!useful.look(second * SECOND, 0, Some(&[0, 0, 0, 0])));
-            assert!(!useful.look(second * SECOND, 10, Some(&[10, 10, 4_000_000_000])));
-            assert!(!useful.look(second * SECOND, 0, Some(&[])));
+            assert!(!detector.look(second * SECOND, 0, Some(&[0, 0, 0, 0])));
+            assert!(!detector.look(second * SECOND, 10, Some(&[10, 10, 4_000_000_000])));
+            assert!(!detector.look(second * SECOND, 0, Some(&[])));
         }
     }
 
     #[test]
     fn time_in_which_the_fleet_is_unknown_does_not_count() {
-        let mut useful = Useful::default();
-        assert!(!useful.look(0, 0, Some(&[10, 10])));
-        assert!(!useful.look(2 * SECOND, 0, None));
-        assert!(!useful.look(4 * SECOND, 0, Some(&[10, 10])));
-        assert!(useful.look(7 * SECOND, 0, Some(&[10, 10])));
-        assert!(useful.look(60 * SECOND, 10, None), "it rests until its reachability is known to be good");
+        let mut detector = Useful::default();
+        assert!(!detector.look(0, 0, Some(&[10, 10])));
+        assert!(!detector.look(2 * SECOND, 0, None));
+        assert!(!detector.look(4 * SECOND, 0, Some(&[10, 10])));
+        assert!(detector.look(7 * SECOND, 0, Some(&[10, 10])));
+        assert!(detector.look(60 * SECOND, 10, None), "it rests until its reachability is known to be good");
     }
 
     #[test]
     fn short_losses_of_reachability_are_ignored() {
-        let mut useful = Useful::default();
+        let mut detector = Useful::default();
         for second in 0..60 {
             // Forwarders are unreachable every other second.
-            assert!(!useful.look(second * SECOND, if second % 2 == 0 { 0 } else { 10 }, Some(&[10, 10])));
+            assert!(!detector.look(second * SECOND, if second % 2 == 0 { 0 } else { 10 }, Some(&[10, 10])));
         }
     }
 
