--- a/crates/ravenspar/src/logs.rs
+++ b/crates/ravenspar/src/logs.rs
@@ -1,9 +1,8 @@
 //! Structured logs on standard error.
 //!
-//! They are written by a thread of their own, so that whoever reads them holds nothing up and ends nothing: a pipe whose
-//! reader stands still or goes away, a disk that is full. Lines that find no room are left out and counted. The
-//! appender that tracing's own project has was weighed: its bound is a number of lines of any length, and what it says
-//! of its own end goes to standard output, where that may block or panic.
+//! A dedicated thread writes them, so that a pipe whose reader stalls or closes, or a full disk, neither blocks nor ends
+//! the program. Lines that exceed the buffer are dropped and counted. `tracing-appender` is not used: it bounds the number
+//! of lines regardless of their length, and reports its own end on standard output, where that may block or panic.
 
 use std::io::{self, Write};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
@@ -12,43 +11,45 @@
 use tracing_subscriber::fmt::MakeWriter;
 use tracing_subscriber::EnvFilter;
 
-/// Bytes that may wait for the writer: some thousand lines, little beside the least memory that a steward is given.
-const WAITING: usize = 1 << 20;
+/// Capacity of the buffer: some thousand lines, and little compared with the smallest memory limit of a steward.
+const MAX_QUEUED_BYTES: usize = 1 << 20;
 
-/// How long the end waits for lines that are not written yet.
-const LAST_LINES: Duration = Duration::from_secs(1);
+/// How long the program waits at its end for buffered lines to be written.
+const FINAL_FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
+/// The buffered lines, and what the writer is doing.
 #[derive(Default)]
-struct Queue {
+struct QueueState {
     waiting: Vec<u8>,
-    /// Lines that found no room, since the writer last said so.
+    /// Lines dropped since the writer last logged their number.
     left_out: u64,
-    /// Some were taken out, and are not written yet.
-    writing: bool,
+    /// The writer has taken lines that are not written yet.
+    is_writing: bool,
 }
 
+/// The queue between log events and the writer thread; the condition variable signals each change.
 #[derive(Clone, Default)]
-struct Lines(Arc<(Mutex<Queue>, Condvar)>);
+struct LogQueue(Arc<(Mutex<QueueState>, Condvar)>);
 
-impl Lines {
-    fn lock(&self) -> MutexGuard<'_, Queue> {
-        // Nothing in here is left half done by a panic.
+impl LogQueue {
+    fn lock(&self) -> MutexGuard<'_, QueueState> {
+        // No panic can leave the state half updated.
         self.0 .0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits until lines have come; returns them, and how many were left out before.
+    /// Waits for lines; returns them and the number of lines dropped before them.
     fn next(&self) -> (Vec<u8>, u64) {
         let mut queue = self.lock();
-        queue.writing = false;
+        queue.is_writing = false;
         self.0 .1.notify_all();
         while queue.waiting.is_empty() {
             queue = self.0 .1.wait(queue).unwrap_or_else(PoisonError::into_inner);
         }
-        queue.writing = true;
+        queue.is_writing = true;
         (std::mem::take(&mut queue.waiting), std::mem::take(&mut queue.left_out))
     }
 
-    /// Writes what comes, for ever. What can't be written is lost, and no more than that.
+    /// Writes lines forever. Lines that can't be written are lost.
     fn write_to(&self, mut out: impl Write) {
         loop {
             let (lines, left_out) = self.next();
@@ -59,19 +60,19 @@
         }
     }
 
-    /// Whether all that came was written within this time.
-    fn written(&self, within: Duration) -> bool {
-        let busy = |queue: &mut Queue| queue.writing || !queue.waiting.is_empty();
-        let waited = self.0 .1.wait_timeout_while(self.lock(), within, busy);
-        !waited.unwrap_or_else(PoisonError::into_inner).1.timed_out()
+    /// Waits until all lines are written. Returns false after `timeout`.
+    fn wait_until_written(&self, timeout: Duration) -> bool {
+        let busy = |queue: &mut QueueState| queue.is_writing || !queue.waiting.is_empty();
+        let result = self.0 .1.wait_timeout_while(self.lock(), timeout, busy);
+        !result.unwrap_or_else(PoisonError::into_inner).1.timed_out()
     }
 }
 
-impl Write for Lines {
-    /// Takes a line whole or not at all.
+impl Write for LogQueue {
+    /// Buffers a complete line or drops it; never fails.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let mut queue = self.lock();
-        if queue.waiting.len() + line.len() > WAITING {
+        if queue.waiting.len() + line.len() > MAX_QUEUED_BYTES {
             queue.left_out += 1;
         } else {
             queue.waiting.extend_from_slice(line);
@@ -85,19 +86,19 @@
     }
 }
 
-impl MakeWriter<'_> for Lines {
-    type Writer = Lines;
+impl MakeWriter<'_> for LogQueue {
+    type Writer = LogQueue;
 
-    fn make_writer(&self) -> Lines {
+    fn make_writer(&self) -> LogQueue {
         self.clone()
     }
 }
 
-/// Dropped once the program has nothing more to say.
-pub struct Logs(Lines);
+/// The handle to the logs. Dropping it waits for buffered lines, so it is dropped last.
+pub struct Logs(LogQueue);
 
 impl Logs {
-    /// A line that is no event: why the program ends.
+    /// Writes a plain line instead of an event: the reason that the program ends.
     pub fn write_line(&self, line: &str) {
         let _ = self.0.clone().write(format!("{line}\n").as_bytes());
     }
@@ -105,15 +106,15 @@
 
 impl Drop for Logs {
     fn drop(&mut self) {
-        self.0.written(LAST_LINES);
+        self.0.wait_until_written(FINAL_FLUSH_TIMEOUT);
     }
 }
 
-/// `level` is a level or a filter as tracing writes them. Fails with what was expected.
+/// Starts logging. `format` is `json` or `text`; `level` is a level or a filter in `tracing`'s syntax.
 pub fn start(format: &str, level: &str) -> Result<Logs, String> {
     let filter = EnvFilter::try_new(level)
         .map_err(|e| format!("--log {level}: {e}, expected a level such as info"))?;
-    let lines = Lines::default();
+    let lines = LogQueue::default();
     let logs =
         tracing_subscriber::fmt().with_env_filter(filter).with_writer(lines.clone()).with_target(false);
     let started = match format {
@@ -123,7 +124,9 @@
     started.map_err(|e| e.to_string())?;
     let writer = lines.clone();
     let thread = std::thread::Builder::new().name("logs".to_owned());
-    thread.spawn(move || writer.write_to(io::stderr())).map_err(|e| format!("a thread for logs: {e}"))?;
+    thread
+        .spawn(move || writer.write_to(io::stderr()))
+        .map_err(|e| format!("can't start the log thread: {e}"))?;
     Ok(Logs(lines))
 }
 
--- a/crates/ravenspar/src/logs/tests.rs
+++ b/crates/ravenspar/src/logs/tests.rs
@@ -2,16 +2,16 @@
 
 use super::*;
 
-/// Hands on what is written, once it is let; then it fails.
+/// Reports the size of each write after a permit for it, and then fails the write if `fails` is set.
 struct Reader {
-    lets: mpsc::Receiver<()>,
+    permits: mpsc::Receiver<()>,
     written: mpsc::Sender<usize>,
     fails: bool,
 }
 
 impl Write for Reader {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let _ = self.lets.recv();
+        let _ = self.permits.recv();
         let _ = self.written.send(bytes.len());
         if self.fails {
             return Err(io::ErrorKind::BrokenPipe.into());
@@ -24,49 +24,49 @@
     }
 }
 
-fn started(fails: bool) -> (Lines, mpsc::Sender<()>, mpsc::Receiver<usize>) {
-    let lines = Lines::default();
-    let ((lets, gate), (written, seen)) = (mpsc::channel(), mpsc::channel());
+fn start_writer(fails: bool) -> (LogQueue, mpsc::Sender<()>, mpsc::Receiver<usize>) {
+    let lines = LogQueue::default();
+    let ((permits, permitted), (written, seen)) = (mpsc::channel(), mpsc::channel());
     let writer = lines.clone();
-    std::thread::spawn(move || writer.write_to(Reader { lets: gate, written, fails }));
-    (lines, lets, seen)
+    std::thread::spawn(move || writer.write_to(Reader { permits: permitted, written, fails }));
+    (lines, permits, seen)
 }
 
-const PATIENCE: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 #[test]
-fn a_reader_that_stands_still_holds_no_line_up_and_costs_those_past_the_bound() {
-    let (mut lines, lets, seen) = started(false);
+fn a_stalled_reader_blocks_no_line_and_lines_over_the_capacity_are_dropped() {
+    let (mut lines, permits, seen) = start_writer(false);
     let line = [b'x'; 1 << 16];
-    // The first is on its way to the reader, which does not take it.
-    lines.write_all(&line).expect("never fails");
-    while !lines.lock().writing {
+    // The writer takes the first line, and waits for the reader.
+    lines.write_all(&line).expect("writes never fail");
+    while !lines.lock().is_writing {
         std::thread::yield_now();
     }
     for _ in 0..20 {
-        lines.write_all(&line).expect("never fails");
+        lines.write_all(&line).expect("writes never fail");
     }
-    let of = |lines: &Lines| {
-        let queue = lines.lock();
-        (queue.waiting.len(), queue.left_out)
+    let counts = |queue: &LogQueue| {
+        let state = queue.lock();
+        (state.waiting.len(), state.left_out)
     };
-    assert_eq!(of(&lines), (WAITING, 4));
-    assert!(!lines.written(Duration::from_millis(1)));
-    lets.send(()).expect("it waits");
-    assert_eq!(seen.recv_timeout(PATIENCE), Ok(1 << 16));
-    lets.send(()).expect("it waits");
-    assert_eq!(seen.recv_timeout(PATIENCE), Ok(WAITING));
-    assert!(lines.written(PATIENCE));
-    assert_eq!(of(&lines), (0, 0));
+    assert_eq!(counts(&lines), (MAX_QUEUED_BYTES, 4));
+    assert!(!lines.wait_until_written(Duration::from_millis(1)));
+    permits.send(()).expect("the writer is waiting");
+    assert_eq!(seen.recv_timeout(TIMEOUT), Ok(1 << 16));
+    permits.send(()).expect("the writer is waiting");
+    assert_eq!(seen.recv_timeout(TIMEOUT), Ok(MAX_QUEUED_BYTES));
+    assert!(lines.wait_until_written(TIMEOUT));
+    assert_eq!(counts(&lines), (0, 0));
 }
 
 #[test]
-fn a_reader_that_is_gone_costs_its_lines_alone() {
-    let (mut lines, lets, seen) = started(true);
+fn a_closed_reader_loses_its_lines_but_does_not_stop_the_writer() {
+    let (mut lines, permits, seen) = start_writer(true);
     for n in 1..=3 {
-        lines.write_all(&vec![b'x'; n]).expect("never fails");
-        lets.send(()).expect("it goes on");
-        assert_eq!(seen.recv_timeout(PATIENCE), Ok(n));
-        assert!(lines.written(PATIENCE));
+        lines.write_all(&vec![b'x'; n]).expect("writes never fail");
+        permits.send(()).expect("the writer is running");
+        assert_eq!(seen.recv_timeout(TIMEOUT), Ok(n));
+        assert!(lines.wait_until_written(TIMEOUT));
     }
 }
