--- a/crates/ravenspar/src/cli.rs
+++ b/crates/ravenspar/src/cli.rs
@@ -8,8 +8,8 @@
 use clap::{Parser, Subcommand, ValueEnum};
 use ravenspar_record::Record;
 
-use crate::door::Fault;
-use crate::halt::Halt;
+use crate::failpoint::Halt;
+use crate::process::Fault;
 use crate::serve::serve;
 use crate::{logs, members, print_line, settings, shared};
 
--- a/crates/ravenspar/src/core.rs
+++ b/crates/ravenspar/src/core.rs
@@ -6,10 +6,10 @@
 use ravenspar_record::SliceRow;
 use ravenspar_steward::{Scope, Time};
 
-use crate::door::Fault;
+use crate::failpoint::{Halt, Point};
 use crate::fleet::{Fleet, FleetEvent};
-use crate::halt::{Halt, Point};
 use crate::list::{self, Notification};
+use crate::process::Fault;
 use crate::recorder::Batch;
 use crate::shared::Event;
 use crate::state::{Core, End, Shared};
--- a/crates/ravenspar/src/lib.rs
+++ b/crates/ravenspar/src/lib.rs
@@ -1,4 +1,4 @@
-//! The control service as a program: settings, sockets, clocks, the record and the list around the host core.
+//! The control service as a program: settings, sockets, clocks, the record and the server list around the host core.
 
 pub mod cli;
 pub mod list;
@@ -7,24 +7,27 @@
 pub mod shared;
 pub mod yaml;
 
+mod assignment_batch;
 mod core;
-mod door;
+mod failpoint;
 mod fleet;
-mod gathering;
-mod halt;
 mod logs;
 mod members;
+mod process;
 mod recorder;
 mod serve;
 mod sharing;
 mod state;
 mod streams;
-mod watched;
+mod supervisor;
 mod work;
 
+use failpoint as halt;
+use supervisor as watched;
+
 pub use fleet::{ask as ask_fleet, Answer};
 
-/// Prints a line on standard output; that nobody reads it any more is no reason to stop.
+/// Prints a line on standard output. Write errors are ignored: a closed pipe is no reason to stop.
 pub fn print_line(line: impl std::fmt::Display) {
     use std::io::Write as _;
     let _ = writeln!(std::io::stdout(), "{line}");
--- a/crates/ravenspar/src/list.rs
+++ b/crates/ravenspar/src/list.rs
@@ -6,7 +6,7 @@
 use ravenspar_steward::{from_seconds, Health, Time};
 use tokio::sync::mpsc;
 
-use crate::door::Fault;
+use crate::process::Fault;
 use crate::yaml::{self, Faults, Node, Placed};
 
 /// What a source of the list notifies of.
--- a/crates/ravenspar/src/door.rs
+++ b/crates/ravenspar/src/process.rs
@@ -10,8 +10,8 @@
 use tokio::signal::unix::Signal;
 use tokio::sync::mpsc;
 
+use crate::failpoint::Halt;
 use crate::fleet::Fleet;
-use crate::halt::Halt;
 use crate::list::Notification;
 use crate::recorder::Recorder;
 
--- a/crates/ravenspar/src/serve.rs
+++ b/crates/ravenspar/src/serve.rs
@@ -10,10 +10,10 @@
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::mpsc;
 
-use crate::door::{Door, Fault};
-use crate::halt::Halt;
+use crate::failpoint::Halt;
 use crate::list::{self, File, Notification, Source};
 use crate::list_store::Stored;
+use crate::process::{Door, Fault};
 use crate::recorder::{Batch, Recorder};
 use crate::settings::Checked;
 use crate::shared::{backward, Joining, Keys, Life, Snapshot};
--- a/crates/ravenspar/src/sharing.rs
+++ b/crates/ravenspar/src/sharing.rs
@@ -6,7 +6,7 @@
 use ravenspar_sharing::Step;
 use ravenspar_steward::{Time, SECOND};
 
-use crate::halt::{Halt, Point};
+use crate::failpoint::{Halt, Point};
 use crate::recorder::Batch;
 use crate::shared::{backward, Event, From, EARLY};
 use crate::state::{Core, End};
--- a/crates/ravenspar/src/state.rs
+++ b/crates/ravenspar/src/state.rs
@@ -11,8 +11,8 @@
 use ravenspar_steward::Time;
 use tokio::sync::mpsc;
 
-use crate::door::Door;
-use crate::gathering::Gathering;
+use crate::assignment_batch::Gathering;
+use crate::process::Door;
 use crate::recorder::Recorder;
 use crate::shared::Life;
 use crate::streams::{self, Input, Stream};
