--- a/crates/ravenspar/src/list.rs
+++ b/crates/ravenspar/src/list.rs
@@ -7,7 +7,7 @@
 use tokio::sync::mpsc;
 
 use crate::process::Fault;
-use crate::yaml::{self, Faults, Node, Placed};
+use crate::yaml::{self, Node, ParseErrors, SpannedNode};
 
 /// What a source of the list notifies of.
 #[derive(Debug)]
@@ -73,9 +73,9 @@
                         Some(Notification::Whole(list))
                     }
                     // What was good before still holds; the next good list is sent again, to end the fault.
-                    Err(faults) => {
+                    Err(errors) => {
                         last = None;
-                        Some(Notification::Failed(faults.to_string()))
+                        Some(Notification::Failed(errors.to_string()))
                     }
                 } {
                     if notifications.send(notification).await.is_err() {
@@ -108,29 +108,29 @@
 
 /// Reads a list file: `servers` is a list of maps with `id`, `zone`, `address`, `state` (`ready`, `draining` or
 /// `gone`; ready where missing) and `boot` (seconds on the steward's wall clock; 0 or missing: long ago).
-pub fn read(path: &Path) -> Result<Vec<ServerRow>, Faults> {
+pub fn read(path: &Path) -> Result<Vec<ServerRow>, ParseErrors> {
     let tree = yaml::read(path)?;
-    let mut faults = Vec::new();
-    let rows = rows(&tree, &mut faults);
-    match faults.is_empty() {
+    let mut errors = Vec::new();
+    let rows = rows(&tree, &mut errors);
+    match errors.is_empty() {
         true => Ok(rows),
-        false => Err(Faults { path: path.to_owned(), faults }),
+        false => Err(ParseErrors { path: path.to_owned(), errors }),
     }
 }
 
-fn rows(tree: &Placed, faults: &mut Vec<(u64, u64, String)>) -> Vec<ServerRow> {
+fn rows(tree: &SpannedNode, errors: &mut Vec<(u64, u64, String)>) -> Vec<ServerRow> {
     let mut rows: Vec<ServerRow> = Vec::new();
-    let mut fault = |at: &Placed, what: String| faults.push((at.line, at.column, what));
+    let mut error = |at: &SpannedNode, what: String| errors.push((at.line, at.column, what));
     let list = match &tree.node {
         Node::Map(entries) => match entries.as_slice() {
             [(key, list)] if matches!(&key.node, Node::Text(name) if name == "servers") => list,
             _ => {
-                fault(tree, "expected one setting, servers, a list of servers".to_owned());
+                error(tree, "expected one setting, servers, a list of servers".to_owned());
                 return rows;
             }
         },
         _ => {
-            fault(tree, "expected servers, a list of servers".to_owned());
+            error(tree, "expected servers, a list of servers".to_owned());
             return rows;
         }
     };
@@ -138,44 +138,44 @@
         Node::List(list) => list.as_slice(),
         Node::Empty => &[],
         _ => {
-            fault(list, "servers: expected a list of servers".to_owned());
+            error(list, "servers: expected a list of servers".to_owned());
             return rows;
         }
     };
     for server in list {
         let Node::Map(entries) = &server.node else {
-            fault(server, "expected a server, a map with id, zone and address".to_owned());
+            error(server, "expected a server, a map with id, zone and address".to_owned());
             continue;
         };
         let mut row =
             ServerRow { id: String::new(), health: 0, boot: 0, zone: String::new(), address: String::new() };
         for (key, value) in entries {
             let (Node::Text(name), Node::Text(text)) = (&key.node, &value.node) else {
-                fault(value, "expected a value".to_owned());
+                error(value, "expected a value".to_owned());
                 continue;
             };
             match name.as_str() {
                 "id" => row.id = text.clone(),
                 "zone" => row.zone = text.clone(),
                 "address" if text.parse::<std::net::SocketAddr>().is_ok() => row.address = text.clone(),
-                "address" => fault(value, format!("address: {text}: expected an address and a port")),
+                "address" => error(value, format!("address: {text}: expected an address and a port")),
                 "state" => match text.as_str() {
                     "ready" => row.health = 0,
                     "draining" => row.health = 1,
                     "gone" => row.health = 2,
-                    _ => fault(value, format!("state: {text}: expected ready, draining or gone")),
+                    _ => error(value, format!("state: {text}: expected ready, draining or gone")),
                 },
                 "boot" => match text.parse::<f64>().ok().filter(|boot| boot.abs() < 1e12) {
                     Some(boot) => row.boot = boot_time(boot),
-                    None => fault(value, format!("boot: {text}: expected seconds")),
+                    None => error(value, format!("boot: {text}: expected seconds")),
                 },
-                _ => fault(key, format!("{name}: unknown, expected id, zone, address, state or boot")),
+                _ => error(key, format!("{name}: unknown, expected id, zone, address, state or boot")),
             }
         }
         if row.id.is_empty() || row.address.is_empty() {
-            fault(server, "expected a server with an id and an address".to_owned());
+            error(server, "expected a server with an id and an address".to_owned());
         } else if rows.iter().any(|other| other.id == row.id) {
-            fault(server, format!("{}: stands twice", row.id));
+            error(server, format!("{}: stands twice", row.id));
         }
         rows.push(row);
     }
--- a/crates/ravenspar/src/settings.rs
+++ b/crates/ravenspar/src/settings.rs
@@ -1,5 +1,5 @@
-//! The steward's settings: a YAML file, checked against one table, which also maps them onto the plain map of
-//! names to values that the decisions and the host read.
+//! The steward's settings: a YAML file, checked against a table that also maps them to the names and values that the
+//! steward's decisions and the host read.
 
 mod check;
 mod sections;
@@ -9,67 +9,68 @@
 
 use ravenspar_steward::Settings;
 
-use crate::yaml::{self, Faults};
+use crate::yaml::{self, ParseErrors};
 
-use check::Check;
+use check::Checker;
 use sections::{debts, fleet, jobs, list_store, share};
-pub use table::{Entry, Form, KIND, TABLE};
+pub use table::{SettingSpec, ValueType, KIND_SETTINGS, SETTINGS};
 
-/// Settings that passed every check.
+/// Settings that passed every checker.
 #[derive(Clone, Debug)]
 pub struct Checked {
     pub listen: String,
     pub record: PathBuf,
     pub list: PathBuf,
-    /// Where the list is in a store; none: it is in the file.
+    /// The list in a store; `None` if the list is a file.
     pub list_store: Option<ListStore>,
     pub seed: u64,
-    /// Where the record is shared with other stewards; none: it is this steward's own file.
+    /// The store of a shared record; `None` if the record is this steward's own file.
     pub share: Option<Share>,
-    /// The view that stewards keep among themselves, if there is to be one.
+    /// The view that the stewards maintain among themselves, if it is configured.
     pub fleet: Option<Fleet>,
-    /// The duty of jobs, if this fleet has it.
+    /// The jobs duty, if it is configured.
     pub jobs: Option<Jobs>,
-    /// The duty of debts, if this fleet has it.
+    /// The debts duty, if it is configured.
     pub debts: Option<Debts>,
+    /// The settings that the steward's decisions and the host read.
     pub map: Settings,
 }
 
-/// How jobs are held by sites.
+/// The settings of jobs, which sites hold with leases.
 #[derive(Clone, Debug)]
 pub struct Jobs {
-    /// Where agents of sites come.
+    /// The address that agents of sites connect to.
     pub listen: std::net::SocketAddr,
-    /// Of a site's life at the store, in whole seconds.
+    /// The lease of a site's incarnation in the store, in whole seconds.
     pub lease: u32,
-    /// Sites whose agents may be connected.
+    /// Limit on the sites whose agents may be connected.
     pub sites: usize,
     pub limits: ravenspar_jobs::Limits,
 }
 
-/// How a steward takes part in the view of the fleet.
+/// The settings of the view of the fleet.
 #[derive(Clone, Debug)]
 pub struct Fleet {
     pub name: String,
     pub listen: std::net::SocketAddr,
-    /// Where others reach it; none: where it listens.
+    /// The address that other stewards use; `None` if it is `listen`.
     pub address: Option<std::net::SocketAddr>,
     pub peers: Vec<std::net::SocketAddr>,
     pub key: PathBuf,
     pub round: ravenspar_steward::Time,
     pub forget: ravenspar_steward::Time,
-    /// Of no setting: what a test leaves out.
+    /// Not in the file: the parts of the view that a test disables.
     pub switches: ravenspar_view::Switches,
 }
 
-/// How debts are reckoned.
+/// The settings of debts.
 #[derive(Clone, Debug)]
 pub struct Debts {
     pub epoch: ravenspar_steward::Time,
     pub shares: ravenspar_debt::Shares,
 }
 
-/// A list of servers in a store.
+/// The settings of a server list in a store.
 #[derive(Clone, Debug)]
 pub struct ListStore {
     pub endpoints: Vec<String>,
@@ -77,39 +78,41 @@
     pub call_within: std::time::Duration,
 }
 
-/// How stewards share.
+/// The settings of the shared store and of the membership in it.
 #[derive(Clone, Debug)]
 pub struct Share {
     pub name: String,
     pub endpoints: Vec<String>,
     pub prefix: String,
-    /// Whole seconds, as the store has them.
+    /// In whole seconds, the unit of the store's leases.
     pub member_lease: u32,
     pub call_within: std::time::Duration,
 }
 
-/// Reads and checks a file. Relative paths in it count from its folder.
-pub fn load(path: &Path) -> Result<Checked, Faults> {
+/// Reads and checks a file. Relative paths in it start from its folder.
+pub fn load(path: &Path) -> Result<Checked, ParseErrors> {
     let tree = yaml::read(path)?;
-    let mut check = Check { faults: Vec::new(), map: Settings::default(), own: Vec::new() };
-    check.map(&tree, "", TABLE, "", &["kinds"]);
-    check.kinds(&tree);
-    let mut check_faults = Vec::new();
-    let own = |name: &str| check.own.iter().find(|(path, _)| path == name).map(|(_, value)| value.as_str());
+    let mut checker = Checker { errors: Vec::new(), map: Settings::default(), program_values: Vec::new() };
+    checker.map(&tree, "", SETTINGS, "", &["kinds"]);
+    checker.kinds(&tree);
+    let mut section_errors = Vec::new();
+    let value_of = |name: &str| {
+        checker.program_values.iter().find(|(path, _)| path == name).map(|(_, value)| value.as_str())
+    };
     let folder = path.parent().unwrap_or(Path::new("."));
-    let listen = own("listen").unwrap_or_default().to_owned();
+    let listen = value_of("listen").unwrap_or_default().to_owned();
     if !listen.is_empty() && listen.parse::<std::net::SocketAddr>().is_err() {
-        check.faults.push((
+        checker.errors.push((
             tree.line,
             tree.column,
             format!("listen: {listen}: expected an address and a port"),
         ));
     }
-    let share = share(&own, &mut check_faults, &tree);
-    let fleet = fleet(&own, &mut check_faults, &tree, folder);
-    let list_store = list_store(&own, &mut check_faults, &tree);
-    let jobs = jobs(&own, &mut check_faults, &tree);
-    let debts = debts(&own, &mut check_faults, &tree);
+    let share = share(&value_of, &mut section_errors, &tree);
+    let fleet = fleet(&value_of, &mut section_errors, &tree, folder);
+    let list_store = list_store(&value_of, &mut section_errors, &tree);
+    let jobs = jobs(&value_of, &mut section_errors, &tree);
+    let debts = debts(&value_of, &mut section_errors, &tree);
     let checked = Checked {
         share,
         fleet,
@@ -117,23 +120,27 @@
         debts,
         list_store,
         listen,
-        record: folder.join(own("record").unwrap_or_default()),
-        list: folder.join(own("list.path").unwrap_or_default()),
-        seed: own("seed").and_then(|seed| seed.parse().ok()).unwrap_or(1),
-        map: check.map,
+        record: folder.join(value_of("record").unwrap_or_default()),
+        list: folder.join(value_of("list.path").unwrap_or_default()),
+        seed: value_of("seed").and_then(|seed| seed.parse().ok()).unwrap_or(1),
+        map: checker.map,
     };
-    check.faults.append(&mut check_faults);
-    if check.faults.is_empty() {
-        // The last word is the host's and the decisions' own: nothing may be missing when they start.
+    checker.errors.append(&mut section_errors);
+    if checker.errors.is_empty() {
+        // Finally the host and the decisions check the map themselves: no setting may be missing when they start.
         if let Err(name) = ravenspar_host::Host::new(0, 1, checked.map.clone(), 1, &[], &[]) {
-            check.faults.push((tree.line, tree.column, format!("the setting {name} is missing or unusable")));
+            checker.errors.push((
+                tree.line,
+                tree.column,
+                format!("the setting {name} is missing or unusable"),
+            ));
         }
     }
-    match check.faults.is_empty() {
+    match checker.errors.is_empty() {
         true => Ok(checked),
         false => {
-            check.faults.sort();
-            Err(Faults { path: path.to_owned(), faults: check.faults })
+            checker.errors.sort();
+            Err(ParseErrors { path: path.to_owned(), errors: checker.errors })
         }
     }
 }
--- a/crates/ravenspar/src/settings/table.rs
+++ b/crates/ravenspar/src/settings/table.rs
@@ -1,8 +1,8 @@
-//! The table of settings: where each stands in the file, what it has to be, and its name in the map.
+//! The table of settings: the path of each in the file, its type, and its name in the map.
 
-/// What a value has to be.
+/// The type of a setting's value.
 #[derive(Clone, Copy, Debug)]
-pub enum Form {
+pub enum ValueType {
     /// A time with its unit, longer than 0.
     Time,
     /// A whole number within these bounds.
@@ -11,112 +11,121 @@
     Number(f64, f64),
     Flag,
     Text,
-    /// A list of texts, one or more; kept a line each.
+    /// A list of one or more texts, stored one per line.
     Texts,
     /// An address with a port.
     Address,
-    /// A list of such addresses; kept a line each.
+    /// A list of such addresses, stored one per line.
     Addresses,
-    /// One of these choices, each with the value that the map has for it.
+    /// One of these choices, each with its value in the map.
     Choice(&'static [(&'static str, &'static str)]),
 }
 
-/// One setting: where it stands in the file, what it has to be, its name in the map (none: the program's own), and
-/// what holds where it is missing (none: it has to be there).
-pub struct Entry {
+/// The specification of one setting.
+pub struct SettingSpec {
+    /// The path in the file.
     pub path: &'static str,
-    pub form: Form,
-    pub name: Option<&'static str>,
-    pub missing: Option<&'static str>,
+    pub value_type: ValueType,
+    /// The name in the map; `None` for a setting that only the program reads.
+    pub map_name: Option<&'static str>,
+    /// The value if the setting is missing; `None` if it is required.
+    pub default: Option<&'static str>,
 }
 
-const fn entry(path: &'static str, form: Form, name: &'static str, missing: Option<&'static str>) -> Entry {
-    Entry { path, form, name: Some(name), missing }
+/// A setting that the map has under `map_name`.
+const fn mapped(
+    path: &'static str,
+    value_type: ValueType,
+    map_name: &'static str,
+    default: Option<&'static str>,
+) -> SettingSpec {
+    SettingSpec { path, value_type, map_name: Some(map_name), default }
 }
 
-const fn own(path: &'static str, form: Form, missing: Option<&'static str>) -> Entry {
-    Entry { path, form, name: None, missing }
+/// A setting that only the program reads.
+const fn program(path: &'static str, value_type: ValueType, default: Option<&'static str>) -> SettingSpec {
+    SettingSpec { path, value_type, map_name: None, default }
 }
 
-/// The table. `docs/guide/run.md` says what each one means.
-pub const TABLE: &[Entry] = &[
-    own("listen", Form::Text, None),
-    own("record", Form::Text, None),
-    own("list.source", Form::Choice(&[("file", "file"), ("etcd", "etcd")]), Some("file")),
-    own("list.path", Form::Text, Some("")),
-    own("list.endpoints", Form::Texts, Some("")),
-    own("list.prefix", Form::Text, Some("/ravenspar/servers/")),
-    own("list.call_within", Form::Time, Some("1s")),
-    own("seed", Form::Count(0.0, 9e15), Some("1")),
-    entry("forwarders", Form::Count(1.0, 65_535.0), "family_info.proxy_count", None),
-    entry("slices", Form::Count(1.0, 65_535.0), "family_info.ranges", None),
-    entry("stewards", Form::Count(1.0, 64.0), "balancers", Some("1")),
-    own("store", Form::Choice(&[("embedded", "embedded"), ("etcd", "etcd")]), Some("embedded")),
-    own("share.name", Form::Text, Some("steward")),
-    own("share.endpoints", Form::Texts, Some("")),
-    own("share.prefix", Form::Text, Some("/ravenspar/")),
-    own("share.member_lease", Form::Time, Some("3s")),
-    own("share.call_within", Form::Time, Some("1s")),
-    own("fleet.name", Form::Text, Some("")),
-    own("fleet.listen", Form::Address, Some("")),
-    own("fleet.address", Form::Address, Some("")),
-    own("fleet.peers", Form::Addresses, Some("")),
-    own("fleet.key", Form::Text, Some("")),
-    // `ravenspar_view::ROUND` and `FORGET` say why.
-    own("fleet.round", Form::Time, Some("300ms")),
-    own("fleet.forget", Form::Time, Some("10m")),
-    own("jobs.listen", Form::Text, Some("")),
-    own("jobs.lease", Form::Time, Some("10s")),
-    own("jobs.most", Form::Count(1.0, 1_000_000.0), Some("100000")),
-    own("jobs.sites", Form::Count(1.0, 10_000.0), Some("256")),
-    own("jobs.attempts", Form::Count(1.0, 1_000.0), Some("5")),
-    own("jobs.again", Form::Time, Some("2s")),
-    own("jobs.cold", Form::Time, Some("10s")),
-    own("jobs.most_gone", Form::Time, Some("30s")),
-    own("jobs.wait", Form::Time, Some("10m")),
-    own("debts.half_life", Form::Time, Some("")),
-    own("debts.epoch", Form::Time, Some("10s")),
-    own("debts.users", Form::Texts, Some("")),
-    own("debts.groups", Form::Texts, Some("")),
-    own("debts.other", Form::Count(0.0, 1e6), Some("1")),
-    entry("lease", Form::Time, "family_info.write_lease_s", None),
-    entry("settle", Form::Time, "family_info.settle_s", None),
-    entry("hold", Form::Time, "family_info.hold_s", None),
-    entry("unserved_most", Form::Time, "family_info.unserved_max_s", None),
-    entry("tick", Form::Time, "tick_s", Some("2ms")),
-    entry("silent_after", Form::Time, "host.silent_s", None),
-    entry("channel.lines_per_s", Form::Number(1.0, 1e9), "family_info.channel_rate", None),
-    entry("channel.waiting_lines", Form::Count(1.0, 1e9), "family_info.pending_max", None),
-    entry("channel.message_cost", Form::Count(0.0, 1e6), "family_info.fixed_cost", None),
-    entry("channel.messages", Form::Count(0.0, 1e6), "family_info.pushes_allowed", None),
-    entry("channel.messages_within", Form::Time, "family_info.update_window_s", None),
-    entry("reports.every", Form::Time, "family_info.cycle_s", None),
-    entry("reports.lines_per_s", Form::Number(1.0, 1e9), "family_info.intake_per_s", None),
-    entry(
+/// The settings of the file. `docs/guide/run.md` explains each one.
+pub const SETTINGS: &[SettingSpec] = &[
+    program("listen", ValueType::Text, None),
+    program("record", ValueType::Text, None),
+    program("list.source", ValueType::Choice(&[("file", "file"), ("etcd", "etcd")]), Some("file")),
+    program("list.path", ValueType::Text, Some("")),
+    program("list.endpoints", ValueType::Texts, Some("")),
+    program("list.prefix", ValueType::Text, Some("/ravenspar/servers/")),
+    program("list.call_within", ValueType::Time, Some("1s")),
+    program("seed", ValueType::Count(0.0, 9e15), Some("1")),
+    mapped("forwarders", ValueType::Count(1.0, 65_535.0), "family_info.proxy_count", None),
+    mapped("slices", ValueType::Count(1.0, 65_535.0), "family_info.ranges", None),
+    mapped("stewards", ValueType::Count(1.0, 64.0), "balancers", Some("1")),
+    program("store", ValueType::Choice(&[("embedded", "embedded"), ("etcd", "etcd")]), Some("embedded")),
+    program("share.name", ValueType::Text, Some("steward")),
+    program("share.endpoints", ValueType::Texts, Some("")),
+    program("share.prefix", ValueType::Text, Some("/ravenspar/")),
+    program("share.member_lease", ValueType::Time, Some("3s")),
+    program("share.call_within", ValueType::Time, Some("1s")),
+    program("fleet.name", ValueType::Text, Some("")),
+    program("fleet.listen", ValueType::Address, Some("")),
+    program("fleet.address", ValueType::Address, Some("")),
+    program("fleet.peers", ValueType::Addresses, Some("")),
+    program("fleet.key", ValueType::Text, Some("")),
+    // The reasons are at `ravenspar_view::ROUND` and `FORGET`.
+    program("fleet.round", ValueType::Time, Some("300ms")),
+    program("fleet.forget", ValueType::Time, Some("10m")),
+    program("jobs.listen", ValueType::Text, Some("")),
+    program("jobs.lease", ValueType::Time, Some("10s")),
+    program("jobs.most", ValueType::Count(1.0, 1_000_000.0), Some("100000")),
+    program("jobs.sites", ValueType::Count(1.0, 10_000.0), Some("256")),
+    program("jobs.attempts", ValueType::Count(1.0, 1_000.0), Some("5")),
+    program("jobs.again", ValueType::Time, Some("2s")),
+    program("jobs.cold", ValueType::Time, Some("10s")),
+    program("jobs.most_gone", ValueType::Time, Some("30s")),
+    program("jobs.wait", ValueType::Time, Some("10m")),
+    program("debts.half_life", ValueType::Time, Some("")),
+    program("debts.epoch", ValueType::Time, Some("10s")),
+    program("debts.users", ValueType::Texts, Some("")),
+    program("debts.groups", ValueType::Texts, Some("")),
+    program("debts.other", ValueType::Count(0.0, 1e6), Some("1")),
+    mapped("lease", ValueType::Time, "family_info.write_lease_s", None),
+    mapped("settle", ValueType::Time, "family_info.settle_s", None),
+    mapped("hold", ValueType::Time, "family_info.hold_s", None),
+    mapped("unserved_most", ValueType::Time, "family_info.unserved_max_s", None),
+    mapped("tick", ValueType::Time, "tick_s", Some("2ms")),
+    mapped("silent_after", ValueType::Time, "host.silent_s", None),
+    mapped("channel.lines_per_s", ValueType::Number(1.0, 1e9), "family_info.channel_rate", None),
+    mapped("channel.waiting_lines", ValueType::Count(1.0, 1e9), "family_info.pending_max", None),
+    mapped("channel.message_cost", ValueType::Count(0.0, 1e6), "family_info.fixed_cost", None),
+    mapped("channel.messages", ValueType::Count(0.0, 1e6), "family_info.pushes_allowed", None),
+    mapped("channel.messages_within", ValueType::Time, "family_info.update_window_s", None),
+    mapped("reports.every", ValueType::Time, "family_info.cycle_s", None),
+    mapped("reports.lines_per_s", ValueType::Number(1.0, 1e9), "family_info.intake_per_s", None),
+    mapped(
         "levels",
-        Form::Choice(&[("share", "ratio"), ("rate", "rps"), ("none", "none")]),
+        ValueType::Choice(&[("share", "ratio"), ("rate", "rps"), ("none", "none")]),
         "family_info.admit",
         Some("share"),
     ),
-    entry("cold.from", Form::Number(0.001, 1.0), "safety.cold_from", None),
-    entry("cold.for", Form::Time, "safety.cold_s", None),
-    entry("cold.fall_multiple", Form::Number(0.001, 1e6), "safety.fall_multiple", None),
-    entry("cold.fall_for", Form::Time, "safety.fall_s", None),
-    entry("drain.grace", Form::Time, "safety.drain_grace_s", None),
-    entry("drain.only_draining_binds", Form::Flag, "safety.only_draining_binds", Some("false")),
+    mapped("cold.from", ValueType::Number(0.001, 1.0), "safety.cold_from", None),
+    mapped("cold.for", ValueType::Time, "safety.cold_s", None),
+    mapped("cold.fall_multiple", ValueType::Number(0.001, 1e6), "safety.fall_multiple", None),
+    mapped("cold.fall_for", ValueType::Time, "safety.fall_s", None),
+    mapped("drain.grace", ValueType::Time, "safety.drain_grace_s", None),
+    mapped("drain.only_draining_binds", ValueType::Flag, "safety.only_draining_binds", Some("false")),
 ];
 
-/// The same for each of `kinds`; `{}` in a name is its place.
-pub const KIND: &[Entry] = &[
-    entry("name", Form::Text, "classes.{}.name", None),
-    entry("response_target", Form::Time, "classes.{}.aim_s", None),
-    entry("client_timeout", Form::Time, "classes.{}.hard_limit_s", None),
-    entry("credit", Form::Number(0.0, 1e9), "classes.{}.worth", None),
-    entry(
+/// The settings of each element of `kinds`; `{}` in a map name stands for its index.
+pub const KIND_SETTINGS: &[SettingSpec] = &[
+    mapped("name", ValueType::Text, "classes.{}.name", None),
+    mapped("response_target", ValueType::Time, "classes.{}.aim_s", None),
+    mapped("client_timeout", ValueType::Time, "classes.{}.hard_limit_s", None),
+    mapped("credit", ValueType::Number(0.0, 1e9), "classes.{}.worth", None),
+    mapped(
         "repeats",
-        Form::Choice(&[("replayable", "pure"), ("uniqued", "token"), ("non-replayable", "side_effect")]),
+        ValueType::Choice(&[("replayable", "pure"), ("uniqued", "token"), ("non-replayable", "side_effect")]),
         "classes.{}.effect",
         None,
     ),
-    own("writes", Form::Flag, None),
+    program("writes", ValueType::Flag, None),
 ];
--- a/crates/ravenspar/src/yaml.rs
+++ b/crates/ravenspar/src/yaml.rs
@@ -1,4 +1,4 @@
-//! YAML as a tree in which every value knows its place, so that all faults of a file can be told at once.
+//! YAML as a tree with the position of every value, so that all errors of a file can be reported at once.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -8,26 +8,27 @@
 
 /// A value with its line and column, counted from 1.
 #[derive(Clone, Debug)]
-pub struct Placed {
+pub struct SpannedNode {
     pub line: u64,
     pub column: u64,
     pub node: Node,
 }
 
+/// A YAML value.
 #[derive(Clone, Debug)]
 pub enum Node {
     Empty,
-    /// Any scalar, as it reads.
+    /// Any scalar, as text.
     Text(String),
-    List(Vec<Placed>),
-    Map(Vec<(Placed, Placed)>),
+    List(Vec<SpannedNode>),
+    Map(Vec<(SpannedNode, SpannedNode)>),
 }
 
-impl<'de> Deserialize<'de> for Placed {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Placed, D::Error> {
+impl<'de> Deserialize<'de> for SpannedNode {
+    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<SpannedNode, D::Error> {
         let spanned = Spanned::<Node>::deserialize(from)?;
         let (line, column) = (spanned.referenced.line(), spanned.referenced.column());
-        Ok(Placed { line, column, node: spanned.value })
+        Ok(SpannedNode { line, column, node: spanned.value })
     }
 }
 
@@ -91,39 +92,42 @@
     }
 }
 
-/// All that is wrong with a file, each with its place and what was expected there.
+/// All errors of a file.
 #[derive(Debug)]
-pub struct Faults {
+pub struct ParseErrors {
     pub path: PathBuf,
-    pub faults: Vec<(u64, u64, String)>,
+    /// Line, column, and what was expected there.
+    pub errors: Vec<(u64, u64, String)>,
 }
 
-impl fmt::Display for Faults {
+impl fmt::Display for ParseErrors {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        for (i, (line, column, what)) in self.faults.iter().enumerate() {
-            let end = if i + 1 < self.faults.len() { "\n" } else { "" };
+        for (i, (line, column, what)) in self.errors.iter().enumerate() {
+            let end = if i + 1 < self.errors.len() { "\n" } else { "" };
             write!(f, "{}:{line}:{column}: {what}{end}", self.path.display())?;
         }
         Ok(())
     }
 }
 
-impl std::error::Error for Faults {}
+impl std::error::Error for ParseErrors {}
 
-/// Reads a file as a tree.
-pub fn read(path: &Path) -> Result<Placed, Faults> {
-    let fault =
-        |line, column, what: String| Faults { path: path.to_owned(), faults: vec![(line, column, what)] };
-    let text = std::fs::read_to_string(path).map_err(|e| fault(1, 1, format!("can't be read: {e}")))?;
+/// Reads a file into a tree.
+pub fn read(path: &Path) -> Result<SpannedNode, ParseErrors> {
+    let parse_error = |line, column, what: String| ParseErrors {
+        path: path.to_owned(),
+        errors: vec![(line, column, what)],
+    };
+    let text = std::fs::read_to_string(path).map_err(|e| parse_error(1, 1, format!("can't be read: {e}")))?;
     serde_saphyr::from_str(&text).map_err(|error| {
-        let place = error.location().map_or((1, 1), |place| (place.line(), place.column()));
+        let position = error.location().map_or((1, 1), |location| (location.line(), location.column()));
         let what = error.without_snippet().to_string();
         let what = what.lines().next().unwrap_or("not YAML").to_owned();
-        fault(place.0, place.1, format!("not YAML: {what}"))
+        parse_error(position.0, position.1, format!("not YAML: {what}"))
     })
 }
 
-/// A time with its unit, in seconds: `4s`, `250ms`, `2m`.
+/// Parses a time with its unit, such as `4s`, `250ms` or `2m`. Returns seconds.
 pub fn seconds(text: &str) -> Option<f64> {
     let split = text.find(|c: char| c.is_ascii_alphabetic())?;
     let unit = match &text[split..] {
