--- a/crates/duty/src/duties.rs
+++ b/crates/duty/src/duties.rs
@@ -1,109 +1,110 @@
-//! Which steward claims which duty, and who gives one to whom.
+//! Which steward claims which duty, and which duties are handed over.
 
 use std::collections::BTreeMap;
 
 use crate::{Duty, Life, Term, Time};
 
-/// A member as the store has it.
+/// A member of the fleet, as the store has it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
     pub life: Life,
     pub leaving: bool,
-    /// It says of itself that it is of no use for duties: it reaches few of the sites that others reach, or crawls.
+    /// The member reports itself unfit for duties: it is slow, or reaches far fewer sites than other members do.
     pub poor: bool,
 }
 
-/// Who has a duty, and under which term.
+/// The leader of a duty and its term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Claim {
     pub owner: Life,
     pub term: Term,
 }
 
-/// One step at the store. The next comes once its outcome has been told.
+/// A write at the store. The next one is returned only after [`Duties::done`] for this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Step {
-    /// Write the claim for this life, bound to its membership, on condition that there is none.
+    /// Write the claim for this incarnation, bound to its membership, if there is no claim.
     Claim { duty: Duty },
-    /// Write the claim for another, bound to that one's membership, on condition that the claim has this term and that
-    /// the other is a member. Nothing is done by the duty from when this is said.
+    /// Write the claim for another member, bound to that member's membership, if the claim has this term and the
+    /// other is a member. This steward stops acting on the duty as soon as the step is returned.
     Give { duty: Duty, term: Term, to: Life },
 }
 
-/// One steward's part.
+/// One steward's view of the duties: what it leads, and what it should claim or hand over.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Duties {
     me: Life,
     claims: Vec<Option<Claim>>,
     members: Vec<Member>,
-    /// Duties that this steward may act by, with their terms.
-    mine: Vec<Option<Term>>,
-    busy: Option<Duty>,
-    /// Nothing is claimed before this: others that start with us are to be seen first.
+    /// The terms of the duties that this steward leads.
+    own_terms: Vec<Option<Term>>,
+    pending: Option<Duty>,
+    /// Nothing is claimed before this time, so that members that start together see each other first.
     claim_at: Time,
-    /// Since when each duty has stood with somebody whom it would not be dealt to.
-    apart: Vec<Option<Time>>,
-    /// How often a duty was given away, or came.
+    /// Since when each duty has had a leader other than the assigned one.
+    misplaced_since: Vec<Option<Time>>,
+    /// How often this steward gained or lost a duty.
     pub changes: u64,
 }
 
 impl Duties {
-    /// How long a duty has to be dealt to another before its owner gives it away, unless the owner is leaving: longer
-    /// than members take to come back one after the other, so that a rolling restart moves each duty as often as its owner
-    /// goes and no more.
-    pub const APART: Time = 50_000;
+    /// How long a duty must be assigned to another member before its leader hands it over, unless the leader is
+    /// leaving. Longer than members take to come back one after the other, so that a rolling restart moves each duty
+    /// only when its leader restarts.
+    pub const HAND_OVER_DELAY: Time = 50_000;
 
-    /// `claim_at`: when claims may begin, some looks at the store after joining.
+    /// `claim_at`: when claims may begin, a few polls of the store after joining.
     pub fn new(me: Life, duties: usize, claim_at: Time) -> Duties {
         Duties {
             me,
             claims: vec![None; duties],
             members: Vec::new(),
-            mine: vec![None; duties],
-            busy: None,
+            own_terms: vec![None; duties],
+            pending: None,
             claim_at,
-            apart: vec![None; duties],
+            misplaced_since: vec![None; duties],
             changes: 0,
         }
     }
 
-    /// What the store shows at one revision: all members, and the claim of each duty. A claim that this life had and that
-    /// is another's or nobody's now is lost at once.
+    /// Takes over a snapshot of the store at one revision: all members, and the claim of each duty. A duty of this
+    /// incarnation whose claim is gone or names another member is lost at once.
     pub fn seen(&mut self, members: Vec<Member>, claims: &[Option<Claim>]) {
         self.members = members;
         self.members.sort_by_key(|member| member.life);
         for (duty, claim) in claims.iter().enumerate().take(self.claims.len()) {
-            // What was read before the outcome of a step was known may be older than it.
-            if self.busy == Some(duty) {
+            // A snapshot read before the pending step completed may be older than its outcome.
+            if self.pending == Some(duty) {
                 continue;
             }
             let term = claim.filter(|claim| claim.owner == self.me).map(|claim| claim.term);
-            let older = |claim: &Claim| self.mine[duty].is_some_and(|mine| claim.term < mine);
+            let older = |claim: &Claim| self.own_terms[duty].is_some_and(|own_term| claim.term < own_term);
             if claim.as_ref().is_some_and(older) {
                 continue;
             }
-            if self.mine[duty] != term {
+            if self.own_terms[duty] != term {
                 self.changes += 1;
-                self.mine[duty] = term;
+                self.own_terms[duty] = term;
             }
             if self.claims[duty].map(|claim| claim.owner) != claim.map(|claim| claim.owner) {
-                self.apart[duty] = None;
+                self.misplaced_since[duty] = None;
             }
             self.claims[duty] = *claim;
         }
     }
 
-    /// The term under which this steward has a duty.
+    /// Returns the term under which this steward leads a duty, or `None` if it doesn't.
     pub fn term(&self, duty: Duty) -> Option<Term> {
-        self.mine.get(duty).copied().flatten()
+        self.own_terms.get(duty).copied().flatten()
     }
 
+    /// Returns true if the incarnation was a member in the last snapshot.
     pub fn is_member(&self, life: Life) -> bool {
         self.members.iter().any(|member| member.life == life)
     }
 
-    /// Whom duties are dealt to: those who stay and are of use; where all who stay are as badly off, all who stay.
-    fn takers(&self) -> Vec<Life> {
+    /// The members that duties are assigned to: those that stay and are fit, or all that stay if none of them is fit.
+    fn candidates(&self) -> Vec<Life> {
         let stay = || self.members.iter().filter(|member| !member.leaving);
         let well: Vec<Life> = stay().filter(|member| !member.poor).map(|member| member.life).collect();
         if well.is_empty() {
@@ -113,64 +114,65 @@
         }
     }
 
-    /// Deals duties evenly, each to whoever has it where that one may keep it; those that are free go to whoever has
-    /// fewest. The same members and claims give the same deal at every steward.
-    fn dealt(&self) -> Vec<Option<Life>> {
-        let takers = self.takers();
-        if takers.is_empty() {
+    /// Assigns duties evenly. A duty stays with its leader if that one has no more than its share; the others go to
+    /// the member with the fewest. The same members and claims give the same assignment at every steward.
+    fn assignment(&self) -> Vec<Option<Life>> {
+        let candidates = self.candidates();
+        if candidates.is_empty() {
             return vec![None; self.claims.len()];
         }
-        let most = self.claims.len().div_ceil(takers.len());
-        let mut held: BTreeMap<Life, usize> = takers.iter().map(|&life| (life, 0)).collect();
-        let mut dealt = vec![None; self.claims.len()];
-        for (place, claim) in dealt.iter_mut().zip(&self.claims) {
+        let max_per_member = self.claims.len().div_ceil(candidates.len());
+        let mut counts: BTreeMap<Life, usize> = candidates.iter().map(|&life| (life, 0)).collect();
+        let mut assignment = vec![None; self.claims.len()];
+        for (leader, claim) in assignment.iter_mut().zip(&self.claims) {
             let Some(claim) = claim else { continue };
-            if let Some(count) = held.get_mut(&claim.owner).filter(|count| **count < most) {
+            if let Some(count) = counts.get_mut(&claim.owner).filter(|count| **count < max_per_member) {
                 *count += 1;
-                *place = Some(claim.owner);
+                *leader = Some(claim.owner);
             }
         }
-        for place in dealt.iter_mut().filter(|place| place.is_none()) {
-            // There is at least one; among equals the first.
-            let fewest = held.iter().min_by_key(|(life, count)| (**count, **life)).map(|(life, _)| *life);
-            if let Some(count) = fewest.and_then(|life| held.get_mut(&life)) {
+        for leader in assignment.iter_mut().filter(|leader| leader.is_none()) {
+            // There is at least one candidate; ties go to the lowest incarnation.
+            let fewest = counts.iter().min_by_key(|(life, count)| (**count, **life)).map(|(life, _)| *life);
+            if let Some(count) = fewest.and_then(|life| counts.get_mut(&life)) {
                 *count += 1;
             }
-            *place = fewest;
+            *leader = fewest;
         }
-        dealt
+        assignment
     }
 
-    /// The next step, if there is one to take now. `leaving`: this steward ends, whether or not the store shows it yet.
+    /// Returns the next step to take now, if any. `leaving`: this steward is shutting down, whether or not the store
+    /// shows it yet.
     pub fn next(&mut self, now: Time, leaving: bool) -> Option<Step> {
-        if self.busy.is_some() || !self.is_member(self.me) {
+        if self.pending.is_some() || !self.is_member(self.me) {
             return None;
         }
         if let Some(me) = self.members.iter_mut().find(|member| member.life == self.me) {
             me.leaving |= leaving;
         }
         let leaving = self.members.iter().any(|member| member.life == self.me && member.leaving);
-        let dealt = self.dealt();
-        for (duty, to) in dealt.into_iter().enumerate() {
+        let assignment = self.assignment();
+        for (duty, to) in assignment.into_iter().enumerate() {
             let Some(to) = to else { continue };
-            let step = match (self.claims[duty], self.mine[duty]) {
+            let step = match (self.claims[duty], self.own_terms[duty]) {
                 (None, _) if to == self.me && now >= self.claim_at => Step::Claim { duty },
                 (Some(_), Some(term)) if to != self.me => {
-                    let since = *self.apart[duty].get_or_insert(now);
-                    if !leaving && now < since + Self::APART {
+                    let since = *self.misplaced_since[duty].get_or_insert(now);
+                    if !leaving && now < since + Self::HAND_OVER_DELAY {
                         continue;
                     }
                     Step::Give { duty, term, to }
                 }
                 _ => {
-                    self.apart[duty] = None;
+                    self.misplaced_since[duty] = None;
                     continue;
                 }
             };
-            self.busy = Some(duty);
+            self.pending = Some(duty);
             if matches!(step, Step::Give { .. }) {
-                // Given up before it is given: nothing of it leaves from here on.
-                self.mine[duty] = None;
+                // Given up before the hand-over is written: no effect of this duty is sent from here on.
+                self.own_terms[duty] = None;
                 self.changes += 1;
             }
             return Some(step);
@@ -178,18 +180,19 @@
         None
     }
 
-    /// What came of a step: the claim's revision, where it was carried out. Where it was not, the next look says why.
+    /// Completes a step: `term` is the claim's revision if the step was carried out. If it was not, the next snapshot
+    /// shows why.
     pub fn done(&mut self, step: Step, term: Option<Term>) {
-        self.busy = None;
+        self.pending = None;
         let (duty, owner) = match step {
             Step::Claim { duty } => (duty, self.me),
             Step::Give { duty, to, .. } => (duty, to),
         };
-        self.apart[duty] = None;
+        self.misplaced_since[duty] = None;
         if let Some(term) = term {
             self.claims[duty] = Some(Claim { owner, term });
             if owner == self.me {
-                self.mine[duty] = Some(term);
+                self.own_terms[duty] = Some(term);
                 self.changes += 1;
             }
         }
--- a/crates/duty/src/taker.rs
+++ b/crates/duty/src/effect_receiver.rs
@@ -1,49 +1,50 @@
-//! Whoever takes effects.
+//! Term fencing at the receiving end of effects.
 
 use std::collections::BTreeMap;
 
-/// The highest term that was seen of each duty. `D`: however the taker names duties.
+/// The highest term seen for each duty; effects under lower terms are refused. `D` is the receiver's name for a duty.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Taker<D: Ord> {
     highest: BTreeMap<D, u64>,
-    most: usize,
+    max_duties: usize,
     /// Effects refused.
     pub refused: u64,
 }
 
-/// An effect that may be had.
+/// How an accepted effect's term compares with the highest known one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Taken {
-    /// Under the term that is on record already.
+    /// The term is already on record.
     Known,
-    /// The term has to be on record before anything is done by it.
+    /// The term is new: it must be on record before the effect is carried out.
     Record,
 }
 
-/// An effect that may not be had, and the term that holds.
+/// An effect that was refused, with the highest term known for its duty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refused {
     pub holds: u64,
 }
 
 impl<D: Ord> Taker<D> {
-    /// `most`: duties that are remembered at most; those past it are refused, as a taker that forgets one is none.
-    pub fn new(most: usize) -> Taker<D> {
-        Taker { highest: BTreeMap::new(), most, refused: 0 }
+    /// `max_duties` bounds the duties that are remembered. Effects of further duties are refused, since a receiver
+    /// that forgets a term no longer fences it.
+    pub fn new(max_duties: usize) -> Taker<D> {
+        Taker { highest: BTreeMap::new(), max_duties, refused: 0 }
     }
 
-    /// What was on record.
+    /// Restores a term from the record after a restart.
     pub fn remember(&mut self, duty: D, term: u64) {
         let highest = self.highest.entry(duty).or_default();
         *highest = term.max(*highest);
     }
 
-    /// The highest term seen; 0: none.
+    /// Returns the highest term seen for a duty, or 0 if there is none.
     pub fn highest(&self, duty: &D) -> u64 {
         self.highest.get(duty).copied().unwrap_or(0)
     }
 
-    /// Duties that are remembered.
+    /// Returns the number of duties remembered.
     pub fn len(&self) -> usize {
         self.highest.len()
     }
@@ -52,10 +53,10 @@
         self.highest.is_empty()
     }
 
-    /// An effect arrives that bears a duty and a term.
+    /// Checks an effect that arrives for a duty under a term.
     pub fn take(&mut self, duty: D, term: u64) -> Result<Taken, Refused> {
         let holds = self.highest(&duty);
-        if term < holds || (!self.highest.contains_key(&duty) && self.highest.len() >= self.most) {
+        if term < holds || (!self.highest.contains_key(&duty) && self.highest.len() >= self.max_duties) {
             self.refused += 1;
             return Err(Refused { holds });
         }
@@ -72,17 +73,21 @@
     use super::*;
 
     #[test]
-    fn a_lower_term_is_refused_and_told_which_one_holds() {
+    fn a_lower_term_is_refused_with_the_highest_known_term() {
         let mut taker = Taker::new(2);
         assert_eq!(taker.take("jobs", 5), Ok(Taken::Record));
         assert_eq!(taker.take("jobs", 5), Ok(Taken::Known));
         assert_eq!(taker.take("jobs", 9), Ok(Taken::Record));
         assert_eq!(taker.take("jobs", 5), Err(Refused { holds: 9 }));
-        assert_eq!(taker.take("debts", 1), Ok(Taken::Record), "duties are told apart");
-        assert_eq!(taker.take("third", 1), Err(Refused { holds: 0 }), "none is forgotten for another");
+        assert_eq!(taker.take("debts", 1), Ok(Taken::Record), "each duty has its own term");
+        assert_eq!(taker.take("third", 1), Err(Refused { holds: 0 }), "no duty is evicted for another");
         assert_eq!(taker.refused, 2);
-        let mut anew = Taker::new(2);
-        anew.remember("jobs", 9);
-        assert_eq!(anew.take("jobs", 8), Err(Refused { holds: 9 }), "what is on record holds after a start");
+        let mut restarted = Taker::new(2);
+        restarted.remember("jobs", 9);
+        assert_eq!(
+            restarted.take("jobs", 8),
+            Err(Refused { holds: 9 }),
+            "a recorded term still fences after a restart"
+        );
     }
 }
--- a/crates/duty/src/lib.rs
+++ b/crates/duty/src/lib.rs
@@ -1,24 +1,24 @@
-//! Duties: work that is done once for the whole fleet, by one owner at a time. Pure: no I/O, no clock; times are whole
-//! tenths of a millisecond, handed in.
+//! Leader election for duties: work that is done once for the whole fleet, by one steward at a time. Pure: no I/O and
+//! no clock; the caller passes in the times.
 //!
-//! [`Duties`] is told what the store says of members and claims, and says which claim to write or give next. [`Tenure`]
-//! is what a steward knows of its own duty; only a [`Warrant`] made from it lets anything leave, and it can't outlive the
-//! membership. [`Taker`] is the other end: whoever takes effects keeps the highest term and refuses lower ones.
-//! `docs/design/duties.md` has the reasoning.
+//! [`Duties`] reads members and claims from snapshots of the store and decides which claim to write or hand over
+//! next. [`Tenure`] is a steward's own claim of a duty. Every effect needs a [`Warrant`] made from it, which can't
+//! outlive the membership. [`Taker`] is the receiving end: it keeps the highest term of each duty and refuses effects
+//! under lower ones. `docs/design/duties.md` has the reasoning.
 
 mod duties;
+mod effect_receiver;
 mod pace;
-mod taker;
-mod warrant;
+mod permit;
 
 pub use duties::{Claim, Duties, Member, Step};
+pub use effect_receiver::{Refused, Taken, Taker};
 pub use pace::Pace;
+pub use permit::{Tenure, Warrant};
 pub use ravenspar_sharing::{Life, Time};
-pub use taker::{Refused, Taken, Taker};
-pub use warrant::{Tenure, Warrant};
 
-/// A claim's revision at the store: it only grows, from one owner of a duty to the next.
+/// The store revision of a duty's claim. It grows with each new leader of the duty.
 pub type Term = u64;
 
-/// A duty's place among those that the settings name.
+/// A duty's index among the configured duties.
 pub type Duty = usize;
--- a/crates/duty/src/pace.rs
+++ b/crates/duty/src/pace.rs
@@ -1,51 +1,52 @@
-//! Whether a process crawls, as it can tell by itself.
+//! Detection of a slow process by the process itself.
 
 use crate::Time;
 
-/// How late a process is woken, as a share of time. One that is stopped and let go again and again, or starved of its core,
-/// answers so late that what it owns stands still, though its membership holds.
+/// How late a process is woken, as a share of elapsed time. A process that is paused again and again, or starved of
+/// CPU, answers so late that its duties make no progress although its membership holds.
 #[derive(Clone, Debug, Default)]
 pub struct Pace {
-    asked: Option<(Time, Time)>,
-    /// In thousandths, averaged over some two seconds of ticks.
-    late: Time,
+    scheduled: Option<(Time, Time)>,
+    /// Lateness in thousandths, averaged over about two seconds of ticks.
+    lateness: Time,
     slow: bool,
 }
 
 impl Pace {
-    /// Between two ticks.
+    /// The interval between two ticks.
     pub const TICK: Time = 1_000;
-    /// Ticks that the average goes over.
-    const OVER: Time = 16;
-    /// Slow above half of the time, well again under a tenth: a busy machine is woken late by a few hundredths, and one
-    /// that stands still for half of the time serves nobody.
-    const SLOW: Time = 500;
-    const WELL: Time = 100;
+    /// The number of ticks that the average covers.
+    const AVERAGED_TICKS: Time = 16;
+    /// Slow above half of the time, recovered below a tenth: a busy machine wakes its processes late by a few
+    /// hundredths, and a process that stands still half of the time makes no progress.
+    const SLOW_ABOVE: Time = 500;
+    const RECOVERED_BELOW: Time = 100;
 
-    /// It wants to be woken a tick from now.
+    /// Schedules a tick one interval from `now` and returns when it is due.
     pub fn asks(&mut self, now: Time) -> Time {
         let due = now + Self::TICK;
-        self.asked = Some((now, due));
+        self.scheduled = Some((now, due));
         due
     }
 
-    /// It runs: a tick that is due is counted with how late it is, a long stop as several. Returns whether it is slow.
+    /// Records that the process runs. A due tick counts by how late it is, and a long pause counts as several ticks.
+    /// Returns true if the process is slow.
     pub fn runs(&mut self, now: Time) -> bool {
-        if let Some((since, due)) = self.asked.filter(|(_, due)| now >= *due) {
-            self.asked = None;
+        if let Some((since, due)) = self.scheduled.filter(|(_, due)| now >= *due) {
+            self.scheduled = None;
             let share = 1_000 * (now - due) / (now - since).max(1);
-            let ticks = ((now - since) / Self::TICK).clamp(1, 2 * Self::OVER);
+            let ticks = ((now - since) / Self::TICK).clamp(1, 2 * Self::AVERAGED_TICKS);
             for _ in 0..ticks {
-                self.late += (share - self.late) / Self::OVER;
+                self.lateness += (share - self.lateness) / Self::AVERAGED_TICKS;
             }
-            self.slow = self.late > if self.slow { Self::WELL } else { Self::SLOW };
+            self.slow = self.lateness > if self.slow { Self::RECOVERED_BELOW } else { Self::SLOW_ABOVE };
         }
         self.slow
     }
 
-    /// Whether a tick is asked for.
+    /// Returns true if a tick is scheduled.
     pub fn is_asked(&self) -> bool {
-        self.asked.is_some()
+        self.scheduled.is_some()
     }
 }
 
@@ -53,11 +54,11 @@
 mod tests {
     use super::*;
 
-    /// Runs for so long and stands still for so long, in turns; returns after how many turns it is slow.
-    fn turns(runs: Time, stands: Time, most: usize) -> Option<usize> {
+    /// Alternates between running and pausing; returns the cycle in which the process is first found slow.
+    fn first_slow_cycle(run_for: Time, pause_for: Time, max_cycles: usize) -> Option<usize> {
         let (mut pace, mut now) = (Pace::default(), 0);
-        for turn in 0..most {
-            let until = now + runs;
+        for cycle in 0..max_cycles {
+            let until = now + run_for;
             while now < until {
                 let due = pace.asks(now);
                 now = due.min(until);
@@ -65,26 +66,26 @@
                     break;
                 }
                 if pace.runs(now) {
-                    return Some(turn);
+                    return Some(cycle);
                 }
             }
-            now = until + stands;
+            now = until + pause_for;
             if pace.runs(now) {
-                return Some(turn);
+                return Some(cycle);
             }
         }
         None
     }
 
     #[test]
-    fn one_that_stands_still_most_of_the_time_is_slow_and_a_busy_one_is_not() {
-        assert!(turns(1_500, 13_500, 20).is_some_and(|turn| turn < 6));
-        assert_eq!(turns(50_000, 4_000, 100), None, "a short stop now and then");
-        assert_eq!(turns(1_000_000, 0, 3), None);
+    fn a_mostly_paused_process_is_slow_and_a_busy_one_is_not() {
+        assert!(first_slow_cycle(1_500, 13_500, 20).is_some_and(|cycle| cycle < 6));
+        assert_eq!(first_slow_cycle(50_000, 4_000, 100), None, "an occasional short pause");
+        assert_eq!(first_slow_cycle(1_000_000, 0, 3), None);
     }
 
     #[test]
-    fn it_is_well_again_after_a_while() {
+    fn a_slow_process_recovers() {
         let mut pace = Pace::default();
         let mut now = 0;
         for _ in 0..20 {
@@ -97,6 +98,7 @@
         while pace.runs(now) {
             now = pace.asks(now);
         }
-        assert!((2 * Pace::OVER * Pace::TICK..8 * Pace::OVER * Pace::TICK).contains(&(now - since)));
+        assert!((2 * Pace::AVERAGED_TICKS * Pace::TICK..8 * Pace::AVERAGED_TICKS * Pace::TICK)
+            .contains(&(now - since)));
     }
 }
--- a/crates/duty/tests/owners.rs
+++ b/crates/duty/tests/owners.rs
@@ -1,15 +1,15 @@
-//! Several stewards' parts at one store that does what it says.
+//! Several stewards claim and hand over duties at a model of the store.
 
 use proptest::prelude::*;
 use ravenspar_duty::{Claim, Duties, Life, Member, Step, Time};
 
-/// The store: members, and claims bound to them. A claim's revision grows.
+/// A model of the store, with members and the claims bound to them. The revision grows with each claim.
 struct Fleet {
     now: Time,
     revision: u64,
     members: Vec<Member>,
     claims: Vec<Option<Claim>>,
-    parts: Vec<(Life, Duties, Option<Step>)>,
+    stewards: Vec<(Life, Duties, Option<Step>)>,
     changes: usize,
 }
 
@@ -20,14 +20,14 @@
             revision: 1,
             members: Vec::new(),
             claims: vec![None; duties],
-            parts: Vec::new(),
+            stewards: Vec::new(),
             changes: 0,
         }
     }
 
     fn join(&mut self, life: Life) {
         self.members.push(Member { life, leaving: false, poor: false });
-        self.parts.push((life, Duties::new(life, self.claims.len(), self.now + 5_000), None));
+        self.stewards.push((life, Duties::new(life, self.claims.len(), self.now + 5_000), None));
     }
 
     fn drop_member(&mut self, life: Life) {
@@ -35,142 +35,142 @@
         self.claims.iter_mut().for_each(|claim| *claim = claim.filter(|claim| claim.owner != life));
     }
 
-    fn there(&self, life: Life) -> bool {
+    fn is_member(&self, life: Life) -> bool {
         self.members.iter().any(|member| member.life == life)
     }
 
-    /// One steward looks.
-    fn look(&mut self, at: usize) {
+    /// One steward reads the store.
+    fn read_store(&mut self, index: usize) {
         let (members, claims) = (self.members.clone(), self.claims.clone());
-        self.parts[at].1.seen(members, &claims);
+        self.stewards[index].1.seen(members, &claims);
     }
 
-    fn begin(&mut self, at: usize) {
-        if self.parts[at].2.is_none() {
-            self.parts[at].2 = self.parts[at].1.next(self.now, false);
+    fn start_step(&mut self, index: usize) {
+        if self.stewards[index].2.is_none() {
+            self.stewards[index].2 = self.stewards[index].1.next(self.now, false);
         }
     }
 
-    /// The store carries out what one asked for, if what is compared is so.
-    fn carry_out(&mut self, at: usize) {
-        let (life, Some(step)) = (self.parts[at].0, self.parts[at].2.take()) else { return };
-        let (duty, owner, so) = match step {
-            Step::Claim { duty } => (duty, life, self.claims[duty].is_none() && self.there(life)),
+    /// The store carries out a steward's pending step if its comparisons hold.
+    fn carry_out(&mut self, index: usize) {
+        let (life, Some(step)) = (self.stewards[index].0, self.stewards[index].2.take()) else { return };
+        let (duty, owner, applies) = match step {
+            Step::Claim { duty } => (duty, life, self.claims[duty].is_none() && self.is_member(life)),
             Step::Give { duty, term, to } => {
                 let same = self.claims[duty].is_some_and(|claim| claim.term == term);
-                (duty, to, same && self.there(to) && self.there(life))
+                (duty, to, same && self.is_member(to) && self.is_member(life))
             }
         };
-        let term = so.then(|| {
+        let term = applies.then(|| {
             self.revision += 1;
             self.changes += 1;
             self.claims[duty] = Some(Claim { owner, term: self.revision });
             self.revision
         });
-        self.parts[at].1.done(step, term);
+        self.stewards[index].1.done(step, term);
     }
 
-    fn rest(&mut self, seconds: usize) {
+    fn run_for(&mut self, seconds: usize) {
         for _ in 0..seconds * 4 {
             self.now += 2_500;
-            for at in 0..self.parts.len() {
-                if self.there(self.parts[at].0) {
-                    self.look(at);
-                    self.begin(at);
-                    self.carry_out(at);
+            for index in 0..self.stewards.len() {
+                if self.is_member(self.stewards[index].0) {
+                    self.read_store(index);
+                    self.start_step(index);
+                    self.carry_out(index);
                 }
             }
         }
     }
 
-    fn owners(&self) -> Vec<Option<Life>> {
+    fn leaders(&self) -> Vec<Option<Life>> {
         self.claims.iter().map(|claim| claim.map(|claim| claim.owner)).collect()
     }
 }
 
 #[test]
-fn duties_are_dealt_evenly_and_stay_with_whoever_has_them() {
+fn duties_are_assigned_evenly_and_stay_with_their_leaders() {
     let mut fleet = Fleet::new(3);
     [30, 10, 20].into_iter().for_each(|life| fleet.join(life));
-    fleet.rest(2);
-    let mut owners = fleet.owners();
-    owners.sort();
-    assert_eq!(owners, [Some(10), Some(20), Some(30)]);
-    let before = fleet.owners();
-    fleet.rest(30);
-    assert_eq!((fleet.owners(), fleet.changes), (before, 3), "nothing moves without a reason");
-    // A fourth that comes finds all dealt evenly.
+    fleet.run_for(2);
+    let mut leaders = fleet.leaders();
+    leaders.sort();
+    assert_eq!(leaders, [Some(10), Some(20), Some(30)]);
+    let before = fleet.leaders();
+    fleet.run_for(30);
+    assert_eq!((fleet.leaders(), fleet.changes), (before, 3), "nothing moves without a reason");
+    // A fourth member joins an even assignment: nothing moves.
     fleet.join(5);
-    fleet.rest(30);
+    fleet.run_for(30);
     assert_eq!(fleet.changes, 3);
 }
 
 #[test]
-fn the_duties_of_one_that_is_gone_are_claimed_and_a_leaver_gives() {
+fn duties_of_a_lost_member_are_claimed_and_a_leaving_member_hands_over() {
     let mut fleet = Fleet::new(2);
     [1, 2, 3].into_iter().for_each(|life| fleet.join(life));
-    fleet.rest(2);
-    assert_eq!(fleet.owners(), [Some(1), Some(2)]);
+    fleet.run_for(2);
+    assert_eq!(fleet.leaders(), [Some(1), Some(2)]);
     fleet.drop_member(1);
-    fleet.rest(1);
-    assert_eq!(fleet.owners(), [Some(3), Some(2)]);
+    fleet.run_for(1);
+    assert_eq!(fleet.leaders(), [Some(3), Some(2)]);
     fleet.members.iter_mut().filter(|member| member.life == 2).for_each(|member| member.leaving = true);
-    fleet.rest(1);
-    assert_eq!(fleet.owners(), [Some(3), Some(3)]);
+    fleet.run_for(1);
+    assert_eq!(fleet.leaders(), [Some(3), Some(3)]);
     assert_eq!(fleet.changes, 4);
 }
 
 #[test]
-fn one_of_no_use_gives_its_duty_away_after_a_while_and_not_when_all_are() {
+fn an_unfit_leader_hands_over_after_a_delay_unless_all_members_are_unfit() {
     let mut fleet = Fleet::new(1);
     [1, 2].into_iter().for_each(|life| fleet.join(life));
-    fleet.rest(2);
+    fleet.run_for(2);
     fleet.members[0].poor = true;
-    fleet.rest(4);
-    assert_eq!(fleet.owners(), [Some(1)], "a moment is no reason");
-    fleet.rest(3);
-    assert_eq!(fleet.owners(), [Some(2)]);
+    fleet.run_for(4);
+    assert_eq!(fleet.leaders(), [Some(1)], "a short spell of unfitness moves nothing");
+    fleet.run_for(3);
+    assert_eq!(fleet.leaders(), [Some(2)]);
     fleet.members[1].poor = true;
-    fleet.rest(60);
-    assert_eq!((fleet.owners(), fleet.changes), (vec![Some(2)], 2), "all are as badly off");
+    fleet.run_for(60);
+    assert_eq!((fleet.leaders(), fleet.changes), (vec![Some(2)], 2), "all members are unfit");
 }
 
 #[test]
-fn one_whose_claim_is_gone_has_no_duty_from_the_next_look_on() {
+fn a_leader_whose_claim_is_gone_loses_the_duty_with_the_next_snapshot() {
     let mut fleet = Fleet::new(1);
     fleet.join(1);
-    fleet.rest(2);
-    let term = fleet.parts[0].1.term(0);
+    fleet.run_for(2);
+    let term = fleet.stewards[0].1.term(0);
     assert!(term.is_some());
     fleet.claims[0] = Some(Claim { owner: 9, term: 99 });
-    fleet.look(0);
-    assert_eq!(fleet.parts[0].1.term(0), None);
-    // What was read late does not bring it back.
+    fleet.read_store(0);
+    assert_eq!(fleet.stewards[0].1.term(0), None);
+    // An empty snapshot doesn't bring the term back.
     fleet.claims[0] = None;
-    fleet.look(0);
-    assert_eq!(fleet.parts[0].1.term(0), None);
+    fleet.read_store(0);
+    assert_eq!(fleet.stewards[0].1.term(0), None);
 }
 
 proptest! {
-    /// Whatever order looks, steps and losses come in, at most one steward that is a member holds a duty, and it is the one
-    /// that the store names, under the store's term.
+    /// In any order of reads, steps and losses, at most one member leads a duty: the one that the store names, under
+    /// the store's term.
     #[test]
-    fn there_are_never_two(events in prop::collection::vec((0..5usize, 0..4usize), 1..200)) {
+    fn a_duty_never_has_two_leaders(events in prop::collection::vec((0..5usize, 0..4usize), 1..200)) {
         let mut fleet = Fleet::new(2);
         (1..5).for_each(|life| fleet.join(life));
         let mut next = 10;
-        for (what, at) in events {
+        for (what, index) in events {
             fleet.now += 1_500;
-            let life = fleet.parts[at].0;
+            let life = fleet.stewards[index].0;
             match what {
-                0 => fleet.look(at),
-                1 => fleet.begin(at),
-                2 => fleet.carry_out(at),
-                3 if fleet.there(life) => {
-                    // Gone and back as another life.
+                0 => fleet.read_store(index),
+                1 => fleet.start_step(index),
+                2 => fleet.carry_out(index),
+                3 if fleet.is_member(life) => {
+                    // Lost, and back as another incarnation.
                     fleet.drop_member(life);
                     fleet.members.push(Member { life: next, leaving: false, poor: false });
-                    fleet.parts[at] = (next, Duties::new(next, 2, fleet.now), None);
+                    fleet.stewards[index] = (next, Duties::new(next, 2, fleet.now), None);
                     next += 1;
                 }
                 _ => {
@@ -179,14 +179,15 @@
                 }
             }
             for duty in 0..2 {
-                let holders = fleet.parts.iter().filter(|(life, ..)| fleet.there(*life));
-                let holders: Vec<_> = holders.filter_map(|(life, part, _)| Some((*life, part.term(duty)?))).collect();
-                // One that has not looked since may think itself owner; only the store's owner has the store's term.
-                let named = fleet.claims[duty];
-                let right = holders.iter().filter(|(life, term)| named == Some(Claim { owner: *life, term: *term }));
-                prop_assert!(right.count() <= 1);
-                for (_, term) in &holders {
-                    prop_assert!(named.is_none_or(|claim| *term <= claim.term));
+                let claimants = fleet.stewards.iter().filter(|(life, ..)| fleet.is_member(*life));
+                let claimants: Vec<_> = claimants.filter_map(|(life, duties_state, _)| Some((*life, duties_state.term(duty)?))).collect();
+                // A member that has not read the store since may think that it still leads; only the actual leader
+                // has the store's term.
+                let store_claim = fleet.claims[duty];
+                let confirmed = claimants.iter().filter(|(life, term)| store_claim == Some(Claim { owner: *life, term: *term }));
+                prop_assert!(confirmed.count() <= 1);
+                for (_, term) in &claimants {
+                    prop_assert!(store_claim.is_none_or(|claim| *term <= claim.term));
                 }
             }
         }
