--- a/crates/debt/src/facts.rs
+++ b/crates/debt/src/facts.rs
@@ -1,61 +1,62 @@
-//! Facts of use, merged.
+//! Facts of use and their merging.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-use crate::{digest, Digest, Use};
+use crate::{digest, Digest, ServerTime};
 
-/// What a fact is about: a job's lease, by its token and the job. Jobs that were given out together have one token.
+/// The key of a fact: a job's lease, by its token and the job. Jobs that were given out together share a token.
 pub type Key = (u64, String);
 
-/// What was used under a lease so far, on whose behalf.
+/// What was used under a lease so far, and on whose behalf.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fact {
     pub user: String,
     #[serde(default)]
     pub group: String,
-    /// It only grows.
-    pub used: Use,
-    /// Nothing more is used under this lease.
+    /// Only grows.
+    pub used: ServerTime,
+    /// The lease has ended: its use doesn't grow any more.
     pub last: bool,
 }
 
-/// All that is known of leases that were not folded yet. Merging commutes, associates and is idempotent: of two facts of a
-/// lease the larger use holds, and that it is the last holds once it was said.
+/// The facts of all leases that are not folded yet. Merging is commutative, associative and idempotent: of two facts
+/// of a lease the larger use holds, and `last` holds once it was reported.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Facts {
     facts: BTreeMap<Key, Fact>,
-    /// Leases before this one that are not here were folded or never used anything: nothing of them is taken in.
+    /// Folded leases: later facts about them are ignored.
     folded: std::collections::BTreeSet<Key>,
-    most: usize,
-    /// Facts left out at the bound; their source says them again.
+    max_leases: usize,
+    /// Facts dropped at the bound; their source reports them again.
     pub left_out: u64,
 }
 
 impl Facts {
-    /// `most`: leases that are known at a time, and as many that were folded.
-    pub fn new(most: usize) -> Facts {
-        Facts { most, ..Facts::default() }
+    /// `max_leases` bounds the leases that are known at a time, and as many folded ones.
+    pub fn new(max_leases: usize) -> Facts {
+        Facts { max_leases, ..Facts::default() }
     }
 
-    /// Takes a fact in. Returns whether anything changed by it; none: it was left out.
+    /// Merges a fact. Returns whether anything changed by it, or `None` if it was dropped at the bound.
     pub fn take(&mut self, key: Key, fact: Fact) -> Option<bool> {
         if self.folded.contains(&key) {
             return Some(false);
         }
         if let Some(known) = self.facts.get_mut(&key) {
-            // Two that name different users can't both be true; the first by name holds, whichever came first.
+            // Facts that name different users can't both be true: the first user by name holds, in any order of
+            // arrival.
             let (used, last) = (known.used.max(fact.used), known.last || fact.last);
-            let whose = (&fact.user, &fact.group) < (&known.user, &known.group);
-            let changed = used != known.used || last != known.last || whose;
-            if whose {
+            let replaces_user = (&fact.user, &fact.group) < (&known.user, &known.group);
+            let changed = used != known.used || last != known.last || replaces_user;
+            if replaces_user {
                 (known.user, known.group) = (fact.user, fact.group);
             }
             (known.used, known.last) = (used, last);
             return Some(changed);
         }
-        if self.facts.len() >= self.most {
+        if self.facts.len() >= self.max_leases {
             self.left_out += 1;
             return None;
         }
@@ -63,7 +64,7 @@
         Some(true)
     }
 
-    /// Takes in all that another knows.
+    /// Merges all facts and folded leases of another set.
     pub fn merge(&mut self, other: &Facts) {
         for key in &other.folded {
             self.fold(key);
@@ -73,35 +74,37 @@
         }
     }
 
-    /// The lease has been folded into the sums: what is said of it from here on is not news.
+    /// Removes a lease that was folded into the totals; later facts about it are ignored.
     pub fn fold(&mut self, key: &Key) -> Option<Fact> {
         self.folded.insert(key.clone());
-        if self.folded.len() > self.most {
-            // The oldest tokens go: their sources stopped saying them when they were told that all was counted.
+        if self.folded.len() > self.max_leases {
+            // The oldest tokens go: their sources stopped reporting them when they were told that all was counted.
             self.folded.pop_first();
         }
         self.facts.remove(key)
     }
 
-    /// Somebody else sees to it from here on.
+    /// Removes a lease that another component handles from here on.
     pub fn remove(&mut self, key: &Key) -> Option<Fact> {
         self.facts.remove(key)
     }
 
+    /// Returns the fact of a lease that is not folded.
     pub fn get(&self, key: &Key) -> Option<&Fact> {
         self.facts.get(key)
     }
 
+    /// Returns true if the lease is known to be folded.
     pub fn is_folded(&self, key: &Key) -> bool {
         self.folded.contains(key)
     }
 
-    /// Facts from a lease on, in order.
+    /// All facts, ordered by lease.
     pub fn iter(&self) -> impl Iterator<Item = (&Key, &Fact)> {
         self.facts.iter()
     }
 
-    /// Leases whose whole use is known, the oldest first.
+    /// Leases whose total use is known, the oldest first.
     pub fn ended(&self) -> impl Iterator<Item = (&Key, &Fact)> {
         self.iter().filter(|(_, fact)| fact.last)
     }
@@ -114,19 +117,20 @@
         self.facts.is_empty()
     }
 
+    /// The digest of all facts that are not folded.
     pub fn digest(&self) -> Digest {
-        let rows = self.facts.iter().map(|(key, fact)| {
-            let mut row = key.0.to_be_bytes().to_vec();
-            row.extend(fact.used.to_be_bytes());
-            row.push(u8::from(fact.last));
-            row.extend(fact.user.as_bytes());
-            row.push(0);
-            row.extend(fact.group.as_bytes());
-            row.push(0);
-            row.extend(key.1.as_bytes());
-            row
+        let entries = self.facts.iter().map(|(key, fact)| {
+            let mut entry = key.0.to_be_bytes().to_vec();
+            entry.extend(fact.used.to_be_bytes());
+            entry.push(u8::from(fact.last));
+            entry.extend(fact.user.as_bytes());
+            entry.push(0);
+            entry.extend(fact.group.as_bytes());
+            entry.push(0);
+            entry.extend(key.1.as_bytes());
+            entry
         });
-        let rows: Vec<Vec<u8>> = rows.collect();
-        digest(rows.iter().map(Vec::as_slice))
+        let entries: Vec<Vec<u8>> = entries.collect();
+        digest(entries.iter().map(Vec::as_slice))
     }
 }
--- a/crates/debt/src/ledger.rs
+++ b/crates/debt/src/ledger.rs
@@ -1,37 +1,37 @@
-//! Sums that decay, and what each user owes by them.
+//! Decayed totals of use, and the debts that follow from them.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-use crate::{digest, Digest, Use};
+use crate::{digest, Digest, ServerTime};
 
-/// What is due to whom: weights of groups and, within each, of users; 0 for those that are to come after all others.
+/// Share weights of groups and, within each group, of users. Weight 0 ranks after all others.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Shares {
     pub groups: BTreeMap<String, u64>,
     pub users: BTreeMap<String, u64>,
-    /// Of those that are not named.
+    /// The weight of groups and users that are not named.
     pub other: u64,
-    /// Epochs in which a use loses half its weight.
+    /// The number of epochs in which a use loses half its weight.
     pub half_life: u32,
 }
 
 impl Default for Shares {
-    /// The same to everybody.
+    /// Equal shares.
     fn default() -> Shares {
         Shares { groups: BTreeMap::new(), users: BTreeMap::new(), other: 1, half_life: 1 }
     }
 }
 
-/// Uses are counted in sixty-fourths of their unit, so that what decays is not lost at once.
-const PARTS: u128 = 64;
+/// Totals are kept in 1/64 of a unit of use, so that small totals don't vanish as they decay.
+const TOTAL_SCALE: u128 = 64;
 
-/// A whole debt: a user that used what was due to it.
-const ONE: u128 = 1 << 32;
+/// The debt of a user that used exactly its share.
+const UNIT_DEBT: u128 = 1 << 32;
 
-/// 2^-(n/16) in 2^-32, as whole numbers, so that no process reckons by floating point.
-const SIXTEENTHS: [u128; 16] = [
+/// 2^-(n/16) in units of 2^-32, as integers, so that no process computes in floating point.
+const DECAY_SIXTEENTHS: [u128; 16] = [
     4_294_967_296,
     4_112_874_773,
     3_938_502_376,
@@ -50,91 +50,93 @@
     2_242_560_872,
 ];
 
-/// What was used, decayed to an epoch: by a user, by a group, by all.
+/// Use decayed to an epoch, of a user, of a group or of all.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sum {
-    /// A user's group; empty otherwise.
+pub struct Total {
+    /// The user's group; empty in totals of groups and of all.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub group: String,
-    /// In sixty-fourths of a use.
+    /// In 1/64 of a unit of use.
     pub sum: u128,
     pub epoch: u64,
 }
 
-/// Decays a sum by so many epochs.
+/// Decays a total by a number of epochs.
 fn decayed(sum: u128, epochs: u64, half_life: u32) -> u128 {
     let half_life = u64::from(half_life.max(1));
-    let halves = epochs / half_life;
-    if halves >= 100 {
+    let half_lives = epochs / half_life;
+    if half_lives >= 100 {
         return 0;
     }
-    // To the sixteenth of a half-life: a finer step is less than a part in twenty.
+    // Rounded to a sixteenth of a half-life; a finer step changes the total by less than a twentieth.
     let sixteenths = (epochs % half_life) * 16 / half_life;
-    // Shifted first where the product could overflow.
-    let sum = sum >> halves;
+    // Shift first where the product could overflow.
+    let sum = sum >> half_lives;
     match sum >> 90 {
-        0 => (sum * SIXTEENTHS[sixteenths as usize]) >> 32,
-        _ => (sum >> 32) * SIXTEENTHS[sixteenths as usize],
+        0 => (sum * DECAY_SIXTEENTHS[sixteenths as usize]) >> 32,
+        _ => (sum >> 32) * DECAY_SIXTEENTHS[sixteenths as usize],
     }
 }
 
-impl Sum {
-    fn at(&self, epoch: u64, half_life: u32) -> u128 {
+impl Total {
+    fn decayed_to(&self, epoch: u64, half_life: u32) -> u128 {
         decayed(self.sum, epoch.saturating_sub(self.epoch), half_life)
     }
 
-    fn add(&mut self, epoch: u64, used: Use, half_life: u32) {
-        self.sum = self.at(epoch, half_life).saturating_add(u128::from(used) * PARTS);
+    fn add(&mut self, epoch: u64, used: ServerTime, half_life: u32) {
+        self.sum = self.decayed_to(epoch, half_life).saturating_add(u128::from(used) * TOTAL_SCALE);
         self.epoch = epoch;
     }
 }
 
-/// Decayed sums of users, of groups, and of all. What is asked of it costs by what is asked, and what is added by what
-/// changes, never by how many users there are: a sum is decayed when it is touched.
+/// Decayed totals of users, of groups and of all. Queries cost by what is asked and updates by what changes, not by
+/// the number of users: a total is decayed only when it is touched.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ledger {
     pub epoch: u64,
-    /// Leases folded in all, and their use: what a job in hand counts as is their mean.
+    /// The number of leases folded so far and their total use. Their mean is the estimate for a job that is still
+    /// running.
     pub leases: u64,
-    pub used: Use,
+    pub used: ServerTime,
     shares: Shares,
-    users: BTreeMap<String, Sum>,
-    groups: BTreeMap<String, Sum>,
-    all: Sum,
-    /// Weights of the users of each group, and of the groups, as far as they have sums.
+    users: BTreeMap<String, Total>,
+    groups: BTreeMap<String, Total>,
+    all: Total,
+    /// Weights of the users of each group, and of the groups, for those that have totals.
     weights: BTreeMap<String, u128>,
     group_weights: u128,
-    /// Of all rows, added up: the same rows have the same one in whatever order they came.
-    rows: u128,
+    /// The sum of the digests of all entries, which doesn't depend on their order.
+    entries_digest: u128,
 }
 
-/// What a user owes.
+/// A user and its debt, as ranked.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Owed {
+pub struct UserDebt {
     pub user: String,
-    /// Parts in 2^32 of what all used lately, divided by the part that is due to it: 2^32 is a user that used what was due.
+    /// The user's part of the recent use divided by its share, in units of 2^-32: 2^32 is a user that used exactly
+    /// its share.
     pub debt: u64,
 }
 
-/// A row's part of the digest.
-fn row(kind: u8, name: &str, sum: &Sum) -> u128 {
+/// An entry's contribution to the digest.
+fn entry_digest(kind: u8, name: &str, sum: &Total) -> u128 {
     let head = [kind];
     let parts: [&[u8]; 5] =
         [&head, name.as_bytes(), sum.group.as_bytes(), &sum.sum.to_be_bytes(), &sum.epoch.to_be_bytes()];
     u128::from_be_bytes(digest(parts))
 }
 
-/// Part used over part due, in 2^-32; nothing due and something used: as much as there can be.
-fn over(used: u128, of: u128, weight: u128, weights: u128) -> u128 {
+/// The part used divided by the part due, in units of 2^-32; the maximum if something was used and nothing is due.
+fn relative_use(used: u128, of: u128, weight: u128, weights: u128) -> u128 {
     if used == 0 || of == 0 {
         return 0;
     }
     if weight == 0 {
         return u128::from(u64::MAX);
     }
-    // What would overflow is shifted alike on both sides.
+    // Shift both sides alike where the product would overflow.
     let shift = (128 - used.max(of).leading_zeros()).saturating_sub(60);
-    let part = (used >> shift) * ONE / (of >> shift).max(1);
+    let part = (used >> shift) * UNIT_DEBT / (of >> shift).max(1);
     (part.saturating_mul(weights) / weight).min(u128::from(u64::MAX))
 }
 
@@ -147,10 +149,10 @@
             shares,
             users: BTreeMap::new(),
             groups: BTreeMap::new(),
-            all: Sum::default(),
+            all: Total::default(),
             weights: BTreeMap::new(),
             group_weights: 0,
-            rows: 0,
+            entries_digest: 0,
         }
     }
 
@@ -166,11 +168,12 @@
         u128::from(self.shares.groups.get(group).copied().unwrap_or(self.shares.other))
     }
 
-    /// Adds what a lease used, once: whoever calls this sees to that.
-    pub fn add(&mut self, user: &str, group: &str, used: Use) {
+    /// Adds the use of a lease. The caller ensures that each lease is added only once.
+    pub fn add(&mut self, user: &str, group: &str, used: ServerTime) {
         let (epoch, half_life) = (self.epoch, self.shares.half_life);
-        let mut sum = self.users.get(user).cloned().unwrap_or(Sum { group: group.to_owned(), sum: 0, epoch });
-        // The group that it was last seen in holds; of two in one epoch the first by name.
+        let mut sum =
+            self.users.get(user).cloned().unwrap_or(Total { group: group.to_owned(), sum: 0, epoch });
+        // The group of the latest epoch holds; of two in one epoch, the first by name.
         if sum.epoch < epoch || group < sum.group.as_str() {
             sum.group = group.to_owned();
         }
@@ -186,25 +189,28 @@
         self.used = self.used.saturating_add(used);
     }
 
-    pub fn user(&self, user: &str) -> Option<&Sum> {
+    /// Returns a user's total.
+    pub fn user(&self, user: &str) -> Option<&Total> {
         self.users.get(user)
     }
 
-    pub fn group(&self, group: &str) -> Option<&Sum> {
+    /// Returns a group's total.
+    pub fn group(&self, group: &str) -> Option<&Total> {
         self.groups.get(group)
     }
 
-    pub fn all(&self) -> &Sum {
+    /// Returns the total of all users.
+    pub fn all(&self) -> &Total {
         &self.all
     }
 
-    /// A user's sum as it is on record.
-    pub fn set_user(&mut self, user: &str, sum: Sum) {
-        self.rows = self.rows.wrapping_add(row(0, user, &sum));
+    /// Sets a user's total, as read from the store.
+    pub fn set_user(&mut self, user: &str, sum: Total) {
+        self.entries_digest = self.entries_digest.wrapping_add(entry_digest(0, user, &sum));
         let (weight, group) = (self.user_weight(user), sum.group.clone());
         let before = self.users.insert(user.to_owned(), sum);
         if let Some(before) = &before {
-            self.rows = self.rows.wrapping_sub(row(0, user, before));
+            self.entries_digest = self.entries_digest.wrapping_sub(entry_digest(0, user, before));
             if before.group == group {
                 return;
             }
@@ -215,64 +221,72 @@
         *self.weights.entry(group).or_default() += weight;
     }
 
-    pub fn set_group(&mut self, group: &str, sum: Sum) {
-        self.rows = self.rows.wrapping_add(row(1, group, &sum));
+    /// Sets a group's total, as read from the store.
+    pub fn set_group(&mut self, group: &str, sum: Total) {
+        self.entries_digest = self.entries_digest.wrapping_add(entry_digest(1, group, &sum));
         match self.groups.insert(group.to_owned(), sum) {
-            Some(before) => self.rows = self.rows.wrapping_sub(row(1, group, &before)),
+            Some(before) => {
+                self.entries_digest = self.entries_digest.wrapping_sub(entry_digest(1, group, &before))
+            }
             None => self.group_weights += self.group_weight(group),
         }
     }
 
-    pub fn set_all(&mut self, sum: Sum) {
+    /// Sets the total of all users, as read from the store.
+    pub fn set_all(&mut self, sum: Total) {
         self.all = sum;
     }
 
-    /// The mean use of a lease.
-    pub fn mean(&self) -> Use {
+    /// The mean use of a folded lease.
+    pub fn mean(&self) -> ServerTime {
         self.used / self.leases.max(1)
     }
 
+    /// Returns the number of users with totals.
     pub fn users(&self) -> usize {
         self.users.len()
     }
 
-    /// What a user owes. Each level is normalised by itself: a group's part of all against its share among groups with any
-    /// use, and a user's part of its group's against its share there; the debt is their product. One without a sum owes
-    /// nothing, unless nothing is due to it.
+    /// Returns a user's debt. Each level is normalised by itself: the group's part of all use against its share among
+    /// groups with any use, and the user's part of its group's use against its share in the group; the debt is the
+    /// product of the two. A user without a total owes nothing, unless its weight is 0.
     pub fn owes(&self, user: &str) -> u64 {
         let Some(sum) = self.users.get(user) else {
             return if self.user_weight(user) == 0 { u64::MAX } else { 0 };
         };
-        let now = |sum: &Sum| sum.at(self.epoch, self.shares.half_life);
+        let now = |sum: &Total| sum.decayed_to(self.epoch, self.shares.half_life);
         let group = self.groups.get(&sum.group).map_or(0, now);
         let weights = self.weights.get(&sum.group).copied().unwrap_or(0);
-        let own = over(now(sum), group, self.user_weight(user), weights);
-        let of_group = over(group, now(&self.all), self.group_weight(&sum.group), self.group_weights);
-        (own.saturating_mul(of_group) / ONE).min(u128::from(u64::MAX)) as u64
+        let user_part = relative_use(now(sum), group, self.user_weight(user), weights);
+        let group_part =
+            relative_use(group, now(&self.all), self.group_weight(&sum.group), self.group_weights);
+        (user_part.saturating_mul(group_part) / UNIT_DEBT).min(u128::from(u64::MAX)) as u64
     }
 
-    /// What a lease of the mean use adds to the debt of a user with an even share, about: what a job in hand counts as.
+    /// Returns roughly what a lease of mean use adds to the debt of a user with an even share: the estimate for a job
+    /// that is still running.
     pub fn step(&self) -> u64 {
-        let all = self.all.at(self.epoch, self.shares.half_life);
+        let all = self.all.decayed_to(self.epoch, self.shares.half_life);
         if all == 0 {
             return 1 << 20;
         }
-        let part = over(u128::from(self.mean()) * PARTS, all, 1, self.users.len() as u128);
+        let part = relative_use(u128::from(self.mean()) * TOTAL_SCALE, all, 1, self.users.len() as u128);
         part.clamp(1, 1 << 40) as u64
     }
 
-    /// All users by what they owe, the least first, those alike by name.
-    pub fn rank(&self) -> Vec<Owed> {
-        let owed = |user: &String| Owed { user: user.clone(), debt: self.owes(user) };
-        let mut all: Vec<Owed> = self.users.keys().map(owed).collect();
+    /// All users by debt, the lowest first, ties by name.
+    pub fn rank(&self) -> Vec<UserDebt> {
+        let user_debt = |user: &String| UserDebt { user: user.clone(), debt: self.owes(user) };
+        let mut all: Vec<UserDebt> = self.users.keys().map(user_debt).collect();
         all.sort_by(|a, b| (a.debt, &a.user).cmp(&(b.debt, &b.user)));
         all
     }
 
+    /// The digest of all totals, the epoch, and the number and use of folded leases.
     pub fn digest(&self) -> Digest {
         digest([
-            &self.rows.to_be_bytes()[..],
-            &row(2, "", &self.all).to_be_bytes(),
+            &self.entries_digest.to_be_bytes()[..],
+            &entry_digest(2, "", &self.all).to_be_bytes(),
             &self.epoch.to_be_bytes(),
             &self.leases.to_be_bytes(),
             &self.used.to_be_bytes(),
--- a/crates/debt/src/lib.rs
+++ b/crates/debt/src/lib.rs
@@ -1,26 +1,26 @@
-//! Fair-share debt: what each user has used lately, against what is due to it. Pure: no I/O, no clock; whole numbers only,
-//! so that the same facts give the same ranking, byte for byte, in every process and in any order of arrival.
+//! Fair-share debt: what each user used lately, relative to its share. Pure: no I/O and no clock; integers only, so
+//! that the same facts give the same ranking, byte for byte, in every process and in any order of arrival.
 //!
-//! [`Facts`] merges what sites say they used: named by its source and growing, so that a fact that comes twice, late or out
-//! of order changes nothing. [`Ledger`] folds what has ended into sums that decay by epochs, and [`Ledger::rank`] says what
-//! each user owes. An epoch is counted by the owner's published folds, never by a wall clock. `docs/design/debt.md` has the
-//! reasoning.
+//! [`Facts`] merges what sites report as used. Facts are keyed by their source and only grow, so that one that
+//! arrives twice, late or out of order changes nothing. [`Ledger`] folds ended leases into totals that decay by
+//! epochs, and [`Ledger::rank`] orders users by what they owe. An epoch is counted by the leader's published folds,
+//! never by a wall clock. `docs/design/debt.md` has the reasoning.
 
-mod books;
 mod facts;
 mod ledger;
+mod tracker;
 
-pub use books::{Books, EpochRow, Fold, Sums, UseRow};
 pub use facts::{Fact, Facts, Key};
-pub use ledger::{Ledger, Owed, Shares, Sum};
+pub use ledger::{Ledger, Shares, Total, UserDebt};
+pub use tracker::{Books, EpochRow, Fold, Sums, UseRow};
 
-/// Server time, in whole tenths of a millisecond.
-pub type Use = u64;
+/// Server time used, in units of 0.1 ms.
+pub type ServerTime = u64;
 
-/// The digest of a set of facts, or of a ranking: the same facts have the same one, whatever order they came in.
+/// The digest of a set of facts or of a ranking. It depends on the content alone, not on the order of arrival.
 pub type Digest = [u8; 16];
 
-/// First half of a SHA-256 over parts, each with its length before it.
+/// Returns the first half of a SHA-256 over the parts, each prefixed with its length.
 fn digest<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> Digest {
     use sha2::Digest as _;
     let mut hash = sha2::Sha256::new();
--- a/crates/debt/tests/debt.rs
+++ b/crates/debt/tests/debt.rs
@@ -1,4 +1,4 @@
-//! Merging, folding and ranking.
+//! Tests of merging, folding and ranking.
 
 use std::collections::BTreeMap;
 
@@ -13,19 +13,19 @@
     Fact { user: format!("u{user}"), group: format!("g{}", user % 2), used, last }
 }
 
-/// Two jobs to a token.
+/// The lease of a job; two jobs share a token.
 fn lease(number: u64) -> (u64, String) {
     (number / 2, format!("job-{number}"))
 }
 
 fn any_facts() -> impl Strategy<Value = Vec<(u64, Fact)>> {
-    // One user a lease, as a lease has.
+    // Each lease has one user.
     prop::collection::vec((0..12u64, 0..1_000u64, any::<bool>()), 0..40).prop_map(|all| {
         all.into_iter().map(|(key, used, last)| (key, fact(key as u8 % 4, used, last))).collect()
     })
 }
 
-fn of(facts: &[(u64, Fact)]) -> Facts {
+fn merged_facts(facts: &[(u64, Fact)]) -> Facts {
     let mut all = Facts::new(100);
     facts.iter().for_each(|(key, fact)| _ = all.take(lease(*key), fact.clone()));
     all
@@ -39,7 +39,7 @@
             facts.iter().for_each(|one| all.merge(one));
             all
         };
-        let (a, b, c) = (of(&a), of(&b), of(&c));
+        let (a, b, c) = (merged_facts(&a), merged_facts(&b), merged_facts(&c));
         let all = merged(&[&a, &b, &c]);
         prop_assert_eq!(&merged(&[&c, &b, &a]), &all);
         prop_assert_eq!(&merged(&[&a, &merged(&[&b, &c])]), &all);
@@ -59,7 +59,7 @@
         prop_assert_eq!(ranked(&leases), before);
     }
 
-    /// The bound on numbers: whatever is used, nothing overflows, and more use is never less debt.
+    /// No use overflows the arithmetic, and more use never lowers the debt.
     #[test]
     fn more_use_is_no_less_debt(used in any::<u64>(), more in any::<u64>(), other in 1..u64::MAX) {
         let debt = |used: u64| {
@@ -73,10 +73,10 @@
 }
 
 #[test]
-fn a_fact_counts_once_whoever_says_it_and_nothing_of_a_folded_lease_is_news() {
+fn a_fact_counts_once_and_facts_of_a_folded_lease_are_ignored() {
     let mut facts = Facts::new(10);
     assert_eq!(facts.take(lease(7), fact(1, 50, false)), Some(true));
-    assert_eq!(facts.take(lease(7), fact(1, 40, false)), Some(false), "late");
+    assert_eq!(facts.take(lease(7), fact(1, 40, false)), Some(false), "an older fact");
     assert_eq!(facts.take(lease(7), fact(1, 60, true)), Some(true));
     assert_eq!(facts.ended().count(), 1);
     assert_eq!(facts.fold(&lease(7)), Some(fact(1, 60, true)));
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn facts_past_the_bound_are_left_out_and_counted() {
+fn facts_past_the_bound_are_dropped_and_counted() {
     let mut facts = Facts::new(2);
     (0..3).for_each(|key| _ = facts.take(lease(key), fact(1, 1, false)));
     assert_eq!((facts.len(), facts.left_out), (2, 1));
@@ -102,14 +102,14 @@
     let owed = ledger.rank();
     let (a, b) = (owed[0].debt as f64, owed[1].debt as f64);
     assert!((a / b - 1.0).abs() < 1e-6, "{owed:?}");
-    // One that comes back after months owes nothing, whatever it used.
+    // A user that returns after months owes nothing, however much it used.
     ledger.epoch += 2_000;
     assert_eq!((ledger.owes("old"), ledger.owes("never seen")), (0, 0));
 }
 
 #[test]
 fn each_level_is_normalised_by_itself() {
-    // Two lenders that used the same; one has a branch that used nearly all of it.
+    // Two lenders used the same; one of them has a branch that used nearly all of its part.
     let ranked = |shares: Shares| {
         let mut ledger = Ledger::new(shares);
         [("a1", "a", 900), ("a2", "a", 100), ("b1", "b", 500), ("b2", "b", 500)]
@@ -121,14 +121,14 @@
     // With three times the share, a's branches come first.
     let more = Shares { groups: BTreeMap::from([("a".to_owned(), 3)]), ..shares() };
     assert_eq!(ranked(more), ["a2", "a1", "b1", "b2"]);
-    // One with no share comes after all.
+    // A user with weight 0 ranks last.
     let none = Shares { users: BTreeMap::from([("a2".to_owned(), 0)]), ..shares() };
     assert_eq!(ranked(none).last().map(String::as_str), Some("a2"));
 }
 
-/// Where nobody says what is due to whom, nobody owes anything before it has used something.
+/// With default shares, nobody owes anything before using something.
 #[test]
-fn without_weights_all_are_alike() {
+fn default_shares_treat_users_alike() {
     let mut ledger = Ledger::new(Shares::default());
     assert_eq!((ledger.owes("a"), ledger.owes("b")), (0, 0));
     ledger.add("a", "", 10);
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_user_that_used_what_was_due_to_it_owes_one() {
+fn a_user_that_used_its_share_owes_one_unit() {
     let mut ledger = Ledger::new(shares());
     (0..4).for_each(|user| ledger.add(&format!("u{user}"), "g", 12_345));
     for owed in ledger.rank() {
