--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -8,16 +8,16 @@
 //! [`Line`] is that line; [`Giver`] decides for the owner of the duty; [`judge`] decides on an outcome at any steward;
 //! [`Holder`] is the agent's side. `docs/design/jobs.md` has the reasoning.
 
-mod desk;
-mod giver;
-mod holder;
-mod line;
+mod agent_sessions;
+mod job_agent;
+mod job_record;
+mod scheduler;
 
-pub use desk::{Act, Desk, Figures as DeskFigures, Hello};
-pub use giver::{Figures, Giver, Limits, Site, Write};
-pub use holder::{Held, Holder, Told};
-pub use line::{judge, Ended, Job, Line, State, Verdict};
+pub use agent_sessions::{Act, Desk, Figures as DeskFigures, Hello};
+pub use job_agent::{Held, Holder, Told};
+pub use job_record::{judge, Ended, Job, Line, State, Verdict};
 pub use ravenspar_sharing::{Life, Time};
+pub use scheduler::{Figures, Giver, Limits, Site, Write};
 
 /// The revision of the write by which a job was given out.
 pub type Token = u64;
