--- a/crates/jobs/src/agent_sessions.rs
+++ b/crates/jobs/src/agent_sessions.rs
@@ -1,75 +1,37 @@
-//! Any steward's side of the agents that are connected to it: it renews their lives at the store, tells them what the lines
-//! say, and hands outcomes to the store. It decides nothing that isn't in a line.
+//! A steward's end of the sessions of the agents connected to it: it renews their incarnations at the store, sends
+//! them orders that follow from the lines, and passes their outcomes to the store. It decides nothing that isn't in a
+//! line.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use crate::{judge, Ended, Life, Line, State, Time, Token, Verdict};
+use crate::{decide_outcome, Ended, Life, Line, State, Time, Token, Verdict};
 
-/// What is to be done outside.
+/// An action that the caller carries out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Act {
-    /// Make the site's lease and key, if they are not there.
-    Register {
-        stream: u64,
-        site: Hello,
-    },
-    /// End lives that are surely over, as their agent says.
-    End {
-        lives: Vec<Life>,
-    },
-    /// Renew the life, and tell what came of it.
-    Renew {
-        stream: u64,
-        life: Life,
-        sent: u64,
-    },
-    /// The renewal that was sent then is answered.
-    Kept {
-        stream: u64,
-        life: Life,
-        sent: u64,
-    },
-    /// The life is over at the store.
-    Over {
-        stream: u64,
-        life: Life,
-    },
-    Give {
-        stream: u64,
-        term: u64,
-        life: Life,
-        job: String,
-        token: Token,
-    },
-    Stop {
-        stream: u64,
-        term: u64,
-        job: String,
-        token: Token,
-    },
-    /// Write the line, compared with what it was, and tell what came of it.
-    Settle {
-        job: String,
-        seen: u64,
-        line: Line,
-        token: Token,
-        ended: Ended,
-    },
-    /// An outcome is taken, or refused for good with the reason.
-    Verdict {
-        stream: u64,
-        job: String,
-        token: Token,
-        refused: Option<String>,
-    },
-    /// The agent said something that it can't mean.
-    Close {
-        stream: u64,
-        why: &'static str,
-    },
+    /// Create the site's lease and key if they don't exist.
+    Register { stream: u64, site: Hello },
+    /// End incarnations that are over according to their agent.
+    End { lives: Vec<Life> },
+    /// Renew the incarnation, then call [`Desk::renewed`].
+    Renew { stream: u64, life: Life, sent: u64 },
+    /// Tell the agent that the renewal sent at `sent` was carried out.
+    Kept { stream: u64, life: Life, sent: u64 },
+    /// Tell the agent that the incarnation is over at the store.
+    Over { stream: u64, life: Life },
+    /// Order the agent to begin a job.
+    Give { stream: u64, term: u64, life: Life, job: String, token: Token },
+    /// Order the agent to stop a job.
+    Stop { stream: u64, term: u64, job: String, token: Token },
+    /// Write the line if its revision is still `seen`, then call [`Desk::settled`].
+    Settle { job: String, seen: u64, line: Line, token: Token, ended: Ended },
+    /// Tell the agent that an outcome was accepted, or refused for good with the reason.
+    Verdict { stream: u64, job: String, token: Token, refused: Option<String> },
+    /// Close the stream: the agent broke the protocol.
+    Close { stream: u64, why: &'static str },
 }
 
-/// What an agent says of itself.
+/// What an agent reports of itself at the start of a session or of an incarnation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Hello {
     pub life: Life,
@@ -81,22 +43,23 @@
 #[derive(Clone, Debug)]
 struct Agent {
     hello: Hello,
-    /// The life is at the store.
+    /// The incarnation is registered at the store.
     registered: bool,
     renewals: usize,
-    heard: Time,
+    last_message_at: Time,
 }
 
+/// Metrics of the sessions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Figures {
     pub agents: usize,
-    /// Outcomes that wait for the store, and those turned away as too many did.
+    /// Outcomes that wait for the store, and those turned away since too many did.
     pub settling: usize,
     pub turned_away: u64,
     pub renewals_left_out: u64,
     pub taken: u64,
     pub refused: u64,
-    /// Agents that knew a higher term than this steward.
+    /// Orders that agents refused since they knew a higher term.
     pub outdated: u64,
 }
 
@@ -107,125 +70,138 @@
     ended: Ended,
 }
 
+/// A steward's end of the sessions of the agents connected to it.
 #[derive(Clone, Debug, Default)]
 pub struct Desk {
     agents: BTreeMap<u64, Agent>,
-    /// Lines, with their revisions; those that are over are kept only while an outcome of theirs may come again.
+    /// Lines with their revisions. Those of jobs that are over are kept only while an outcome of theirs may still
+    /// come.
     lines: BTreeMap<String, (Line, u64)>,
-    /// Held by each life.
+    /// The jobs that each incarnation holds.
     held: BTreeMap<Life, BTreeMap<String, Token>>,
     settling: BTreeMap<String, Settling>,
-    /// The term of the duty, and the revision at which it was seen.
+    /// The highest term of the duty seen.
     term: u64,
-    /// Lines are known up to this revision.
-    known: u64,
-    acts: VecDeque<Act>,
+    /// The revision of the store up to which lines are known.
+    known_revision: u64,
+    actions: VecDeque<Act>,
     figures: Figures,
 }
 
 impl Desk {
-    /// Outcomes that wait for the store at most: some transactions' worth. An agent whose outcome is turned away sends it
-    /// again.
-    const SETTLING: usize = 1_000;
+    /// The number of outcomes that may wait for the store: some transactions' worth. An agent sends an outcome that was
+    /// turned away again.
+    const MAX_SETTLING: usize = 1_000;
 
-    /// An agent is reached that was heard of within this: three of its pings.
-    const HEARD: Time = 30_000;
+    /// An agent counts as reached if it sent something within this time: three of its pings.
+    const REACHABLE_WITHIN: Time = 30_000;
 
-    /// Renewals of one agent under way at most: a store that answers late costs no life.
-    const RENEWALS: usize = 4;
+    /// The number of renewals of one agent that may be under way: a store that answers late costs no incarnation.
+    const MAX_RENEWALS: usize = 4;
 
+    /// Returns the next action to carry out.
     pub fn poll(&mut self) -> Option<Act> {
-        self.acts.pop_front()
+        self.actions.pop_front()
     }
 
+    /// Returns the current metrics.
     pub fn figures(&self) -> Figures {
         Figures { agents: self.agents.len(), settling: self.settling.len(), ..self.figures }
     }
 
-    /// Sites heard of lately.
+    /// Returns the number of sites whose agents sent something lately.
     pub fn reached(&self, now: Time) -> usize {
-        let heard = self.agents.values().filter(|agent| now < agent.heard + Self::HEARD);
-        heard.map(|agent| agent.hello.name.as_str()).collect::<BTreeSet<_>>().len()
+        let reached =
+            self.agents.values().filter(|agent| now < agent.last_message_at + Self::REACHABLE_WITHIN);
+        reached.map(|agent| agent.hello.name.as_str()).collect::<BTreeSet<_>>().len()
     }
 
-    /// Something came from an agent.
+    /// Records that a message came from an agent.
     pub fn heard(&mut self, now: Time, stream: u64) {
         if let Some(agent) = self.agents.get_mut(&stream) {
-            agent.heard = now;
+            agent.last_message_at = now;
         }
     }
 
-    /// Under which term orders go out.
+    /// Sets the term under which orders are sent, if it is higher than the last one.
     pub fn term(&mut self, term: u64) {
         self.term = self.term.max(term);
     }
 
-    /// An agent says hello, or that it goes on under another life. `before`: lives of its that are surely over.
+    /// An agent opens its session, or continues as another incarnation. `before`: its earlier incarnations, which are
+    /// over.
     pub fn hello(&mut self, now: Time, stream: u64, hello: Hello, before: Vec<Life>) {
         if !before.is_empty() {
-            self.acts.push_back(Act::End { lives: before });
+            self.actions.push_back(Act::End { lives: before });
         }
-        self.acts.push_back(Act::Register { stream, site: hello.clone() });
-        self.agents.insert(stream, Agent { hello, registered: false, renewals: 0, heard: now });
+        self.actions.push_back(Act::Register { stream, site: hello.clone() });
+        self.agents.insert(stream, Agent { hello, registered: false, renewals: 0, last_message_at: now });
     }
 
-    /// A registration was tried. Where it was not carried out, another steward may have been quicker, or the life is over:
-    /// the next renewal tells.
+    /// A registration was tried. If it was not carried out, another steward was quicker or the incarnation is over:
+    /// the next renewal shows which.
     pub fn registered(&mut self, stream: u64, life: Life) {
         if let Some(agent) = self.agents.get_mut(&stream).filter(|agent| agent.hello.life == life) {
             agent.registered = true;
         }
     }
 
+    /// A stream was closed.
     pub fn closed(&mut self, stream: u64) {
         self.agents.remove(&stream);
     }
 
-    /// The agent renews its life, and says which jobs it has in hand or outcomes of, under which tokens. What it lacks it is
-    /// given, and what is not its any more it is told to stop; what this steward can't know yet is left alone.
-    pub fn keep(&mut self, stream: u64, sent: u64, hands: &BTreeSet<(String, Token)>) {
+    /// The agent renews its incarnation and lists the jobs that it holds or has outcomes of, with their tokens. It is
+    /// ordered to begin what it lacks and to stop what is not its any more; what is newer than the lines known here
+    /// is left alone.
+    pub fn keep(&mut self, stream: u64, sent: u64, reported_leases: &BTreeSet<(String, Token)>) {
         let Some(agent) = self.agents.get_mut(&stream) else {
-            self.acts.push_back(Act::Close { stream, why: "a renewal before a hello" });
+            self.actions.push_back(Act::Close { stream, why: "a renewal before a hello" });
             return;
         };
         let life = agent.hello.life;
-        if agent.registered && agent.renewals < Self::RENEWALS {
+        if agent.registered && agent.renewals < Self::MAX_RENEWALS {
             agent.renewals += 1;
-            self.acts.push_back(Act::Renew { stream, life, sent });
+            self.actions.push_back(Act::Renew { stream, life, sent });
         } else {
             self.figures.renewals_left_out += 1;
         }
         let held = self.held.get(&life).into_iter().flatten().map(|(job, token)| (job.clone(), *token));
-        let lacks: Vec<(String, Token)> = held.filter(|lease| !hands.contains(lease)).collect();
-        for (job, token) in lacks {
-            self.acts.push_back(Act::Give { stream, term: self.term, life, job, token });
+        let missing: Vec<(String, Token)> = held.filter(|lease| !reported_leases.contains(lease)).collect();
+        for (job, token) in missing {
+            self.actions.push_back(Act::Give { stream, term: self.term, life, job, token });
         }
-        for (job, token) in hands.iter().filter(|(_, token)| *token <= self.known) {
+        for (job, token) in reported_leases.iter().filter(|(_, token)| *token <= self.known_revision) {
             let over = match self.lines.get(job) {
                 Some((line, modified)) => {
                     line.token(*modified) != *token || !matches!(line.state, State::Leased(_))
                 }
-                // A line that is not there any more was deleted when the job was over.
+                // The line was deleted since the job was over.
                 None => true,
             };
             if over {
-                self.acts.push_back(Act::Stop { stream, term: self.term, job: job.clone(), token: *token });
+                self.actions.push_back(Act::Stop {
+                    stream,
+                    term: self.term,
+                    job: job.clone(),
+                    token: *token,
+                });
             }
         }
     }
 
-    /// What came of a renewal; none: nobody knows.
+    /// Completes a renewal; `None` if its result is unknown.
     pub fn renewed(&mut self, stream: u64, life: Life, sent: u64, held: Option<bool>) {
         let Some(agent) = self.agents.get_mut(&stream) else { return };
         agent.renewals = agent.renewals.saturating_sub(1);
         match held {
-            Some(true) => self.acts.push_back(Act::Kept { stream, life, sent }),
-            Some(false) => self.acts.push_back(Act::Over { stream, life }),
+            Some(true) => self.actions.push_back(Act::Kept { stream, life, sent }),
+            Some(false) => self.actions.push_back(Act::Over { stream, life }),
             None => {}
         }
     }
 
-    /// The store shows a line. Those that say so are told at once.
+    /// Takes a line as the store has it and orders the agents concerned to begin or stop the job.
     pub fn line(&mut self, job: &str, line: Line, modified: u64) {
         if self.lines.get(job).is_some_and(|(_, seen)| *seen >= modified) {
             return;
@@ -241,11 +217,11 @@
                     self.held.remove(&site);
                 }
             }
-            // Done is no news to the site: its outcome was taken.
+            // A site needs no order for a job that is done: it sent the outcome.
             if line.state != State::Done {
                 for stream in self.streams(site) {
                     let stop = Act::Stop { stream, term: self.term, job: job.to_owned(), token };
-                    self.acts.push_back(stop);
+                    self.actions.push_back(stop);
                 }
             }
         }
@@ -253,29 +229,30 @@
             self.held.entry(life).or_default().insert(job.to_owned(), modified);
             for stream in self.streams(life) {
                 let give = Act::Give { stream, term: self.term, life, job: job.to_owned(), token: modified };
-                self.acts.push_back(give);
+                self.actions.push_back(give);
             }
         }
         match line.state {
-            // What nobody holds or held is of no use here.
+            // Lines that no site holds or held are not needed here.
             State::Cancelled | State::Done | State::Parked => _ = self.lines.remove(job),
             _ => _ = self.lines.insert(job.to_owned(), (line, modified)),
         }
     }
 
-    /// Lines are known up to this revision of the store.
+    /// Sets the revision of the store up to which lines are known.
     pub fn known(&mut self, revision: u64) {
-        self.known = self.known.max(revision);
+        self.known_revision = self.known_revision.max(revision);
     }
 
     fn streams(&self, life: Life) -> Vec<u64> {
-        let of = self.agents.iter().filter(|(_, agent)| agent.hello.life == life);
-        of.map(|(stream, _)| *stream).collect()
+        let matching = self.agents.iter().filter(|(_, agent)| agent.hello.life == life);
+        matching.map(|(stream, _)| *stream).collect()
     }
 
-    /// An outcome arrives. The line is read anew for it, so that an old one that is known here decides nothing.
+    /// An outcome arrives. Its line is read again from the store, as the one known here may be old. Returns true if
+    /// the outcome is taken up, and false if it was turned away.
     pub fn outcome(&mut self, stream: u64, job: &str, token: Token, ended: Ended) -> bool {
-        if self.settling.len() >= Self::SETTLING || self.settling.contains_key(job) {
+        if self.settling.len() >= Self::MAX_SETTLING || self.settling.contains_key(job) {
             self.figures.turned_away += 1;
             return false;
         }
@@ -283,42 +260,42 @@
         true
     }
 
-    /// The line of a job whose outcome waits, as it was just read; none: there is none.
+    /// Decides on a waiting outcome by the job's line, which was just read; `None` if there is no line.
     pub fn read(&mut self, job: &str, line: Option<(Line, u64)>) {
         let Some(Settling { stream, token, ended }) = self.settling.get(job).cloned() else { return };
         let verdict = match &line {
             None => Verdict::Refused("there is no such job"),
-            Some((line, modified)) => judge(line, *modified, token, &ended),
+            Some((line, modified)) => decide_outcome(line, *modified, token, &ended),
         };
         match verdict {
-            Verdict::Take(to) => {
+            Verdict::Accept(to) => {
                 let seen = line.map_or(0, |(_, modified)| modified);
-                self.acts.push_back(Act::Settle { job: job.to_owned(), seen, line: to, token, ended });
+                self.actions.push_back(Act::Settle { job: job.to_owned(), seen, line: to, token, ended });
             }
-            Verdict::Taken => self.verdict(stream, job, token, None),
-            Verdict::Refused(why) => self.verdict(stream, job, token, Some(why.to_owned())),
+            Verdict::AlreadyAccepted => self.complete_outcome(stream, job, token, None),
+            Verdict::Refused(why) => self.complete_outcome(stream, job, token, Some(why.to_owned())),
         }
     }
 
-    /// What came of settling: carried out, or not (then the agent sends its outcome again).
+    /// Completes the write of an outcome. If it was not carried out, the agent sends the outcome again.
     pub fn settled(&mut self, job: &str, done: bool) {
         let Some(Settling { stream, token, .. }) = self.settling.get(job).cloned() else { return };
         match done {
-            true => self.verdict(stream, job, token, None),
+            true => self.complete_outcome(stream, job, token, None),
             false => _ = self.settling.remove(job),
         }
     }
 
-    fn verdict(&mut self, stream: u64, job: &str, token: Token, refused: Option<String>) {
+    fn complete_outcome(&mut self, stream: u64, job: &str, token: Token, refused: Option<String>) {
         self.settling.remove(job);
         match refused {
             None => self.figures.taken += 1,
             Some(_) => self.figures.refused += 1,
         }
-        self.acts.push_back(Act::Verdict { stream, job: job.to_owned(), token, refused });
+        self.actions.push_back(Act::Verdict { stream, job: job.to_owned(), token, refused });
     }
 
-    /// An agent has refused an order as it knows a higher term.
+    /// An agent refused an order since it knows a higher term.
     pub fn outdated(&mut self) {
         self.figures.outdated += 1;
     }
@@ -332,12 +309,12 @@
         Hello { life, boot: 1, room: 4, name: "north".to_owned() }
     }
 
-    fn acts(desk: &mut Desk) -> Vec<Act> {
-        std::iter::from_fn(|| desk.poll()).collect()
+    fn actions(sessions: &mut Desk) -> Vec<Act> {
+        std::iter::from_fn(|| sessions.poll()).collect()
     }
 
-    fn hands(of: &[(&str, Token)]) -> BTreeSet<(String, Token)> {
-        of.iter().map(|(job, token)| ((*job).to_owned(), *token)).collect()
+    fn leases(all: &[(&str, Token)]) -> BTreeSet<(String, Token)> {
+        all.iter().map(|(job, token)| ((*job).to_owned(), *token)).collect()
     }
 
     fn leased(life: Life) -> Line {
@@ -345,61 +322,71 @@
     }
 
     #[test]
-    fn an_agent_is_given_what_its_lines_say_again_until_it_has_it() {
-        let mut desk = Desk::default();
-        desk.term(3);
-        desk.hello(0, 1, hello(9), vec![8]);
-        assert!(matches!(&acts(&mut desk)[..], [Act::End { .. }, Act::Register { .. }]));
-        desk.registered(1, 9);
-        desk.line("a", leased(9), 70);
+    fn an_order_is_repeated_until_the_agent_has_the_job() {
+        let mut sessions = Desk::default();
+        sessions.term(3);
+        sessions.hello(0, 1, hello(9), vec![8]);
+        assert!(matches!(&actions(&mut sessions)[..], [Act::End { .. }, Act::Register { .. }]));
+        sessions.registered(1, 9);
+        sessions.line("a", leased(9), 70);
         let give = Act::Give { stream: 1, term: 3, life: 9, job: "a".into(), token: 70 };
-        assert_eq!(acts(&mut desk), std::slice::from_ref(&give));
-        desk.keep(1, 5, &hands(&[("b", 70)]));
-        assert_eq!(acts(&mut desk), [Act::Renew { stream: 1, life: 9, sent: 5 }, give]);
-        desk.keep(1, 6, &hands(&[("a", 70)]));
-        assert_eq!(acts(&mut desk), [Act::Renew { stream: 1, life: 9, sent: 6 }]);
-        desk.renewed(1, 9, 5, Some(true));
-        desk.renewed(1, 9, 6, None);
-        assert_eq!(acts(&mut desk), [Act::Kept { stream: 1, life: 9, sent: 5 }]);
+        assert_eq!(actions(&mut sessions), std::slice::from_ref(&give));
+        sessions.keep(1, 5, &leases(&[("b", 70)]));
+        assert_eq!(actions(&mut sessions), [Act::Renew { stream: 1, life: 9, sent: 5 }, give]);
+        sessions.keep(1, 6, &leases(&[("a", 70)]));
+        assert_eq!(actions(&mut sessions), [Act::Renew { stream: 1, life: 9, sent: 6 }]);
+        sessions.renewed(1, 9, 5, Some(true));
+        sessions.renewed(1, 9, 6, None);
+        assert_eq!(actions(&mut sessions), [Act::Kept { stream: 1, life: 9, sent: 5 }]);
     }
 
     #[test]
-    fn it_is_told_to_stop_what_is_not_its_any_more() {
-        let mut desk = Desk::default();
-        desk.hello(0, 1, hello(9), Vec::new());
-        desk.line("a", leased(9), 70);
-        acts(&mut desk);
-        desk.line("a", Line { last: 70, ..Line::new(State::Waiting) }, 80);
+    fn an_agent_is_ordered_to_stop_jobs_that_it_lost() {
+        let mut sessions = Desk::default();
+        sessions.hello(0, 1, hello(9), Vec::new());
+        sessions.line("a", leased(9), 70);
+        actions(&mut sessions);
+        sessions.line("a", Line { last: 70, ..Line::new(State::Waiting) }, 80);
         let stop = Act::Stop { stream: 1, term: 0, job: "a".into(), token: 70 };
-        assert_eq!(acts(&mut desk), std::slice::from_ref(&stop));
-        desk.known(80);
-        desk.keep(1, 7, &hands(&[("a", 70), ("new", 90)]));
-        assert!(acts(&mut desk).contains(&stop), "and nothing of what is newer than what is known here");
-        desk.line("a", leased(9), 60);
-        assert_eq!(acts(&mut desk), [], "older news");
-        // Cancelled in hand.
-        desk.line("b", leased(9), 90);
-        desk.line("b", Line { last: 90, ..Line::new(State::Ending(9)) }, 91);
-        assert!(matches!(&acts(&mut desk)[..], [Act::Give { .. }, Act::Stop { token: 90, .. }]));
+        assert_eq!(actions(&mut sessions), std::slice::from_ref(&stop));
+        sessions.known(80);
+        sessions.keep(1, 7, &leases(&[("a", 70), ("new", 90)]));
+        assert!(
+            actions(&mut sessions).contains(&stop),
+            "but no order for a token newer than the known lines"
+        );
+        sessions.line("a", leased(9), 60);
+        assert_eq!(actions(&mut sessions), [], "an older line is ignored");
+        // Cancelled while leased.
+        sessions.line("b", leased(9), 90);
+        sessions.line("b", Line { last: 90, ..Line::new(State::Ending(9)) }, 91);
+        assert!(matches!(&actions(&mut sessions)[..], [Act::Give { .. }, Act::Stop { token: 90, .. }]));
     }
 
     #[test]
-    fn an_outcome_is_settled_by_the_line_as_it_is_read_for_it() {
-        let mut desk = Desk::default();
-        desk.hello(0, 1, hello(9), Vec::new());
-        acts(&mut desk);
-        assert!(desk.outcome(1, "a", 70, Ended::Done));
-        assert!(!desk.outcome(1, "a", 70, Ended::Done), "one is under way");
-        desk.read("a", Some((leased(9), 70)));
-        assert!(matches!(&acts(&mut desk)[..], [Act::Settle { seen: 70, token: 70, .. }]));
-        desk.settled("a", false);
-        assert_eq!(acts(&mut desk), [], "another write came between: it is sent again");
-        assert!(desk.outcome(1, "a", 70, Ended::Done));
-        desk.read("a", Some((Line { last: 70, ..Line::new(State::Done) }, 71)));
-        assert!(matches!(&acts(&mut desk)[..], [Act::Verdict { refused: None, .. }]));
-        assert!(desk.outcome(1, "gone", 70, Ended::Done));
-        desk.read("gone", None);
-        assert!(matches!(&acts(&mut desk)[..], [Act::Verdict { refused: Some(_), .. }]));
-        assert_eq!((desk.figures().taken, desk.figures().refused, desk.figures().turned_away), (1, 1, 1));
+    fn an_outcome_is_decided_by_a_line_read_for_it() {
+        let mut sessions = Desk::default();
+        sessions.hello(0, 1, hello(9), Vec::new());
+        actions(&mut sessions);
+        assert!(sessions.outcome(1, "a", 70, Ended::Done));
+        assert!(!sessions.outcome(1, "a", 70, Ended::Done), "one outcome is under way");
+        sessions.read("a", Some((leased(9), 70)));
+        assert!(matches!(&actions(&mut sessions)[..], [Act::Settle { seen: 70, token: 70, .. }]));
+        sessions.settled("a", false);
+        assert_eq!(
+            actions(&mut sessions),
+            [],
+            "another write came first, and the agent sends the outcome again"
+        );
+        assert!(sessions.outcome(1, "a", 70, Ended::Done));
+        sessions.read("a", Some((Line { last: 70, ..Line::new(State::Done) }, 71)));
+        assert!(matches!(&actions(&mut sessions)[..], [Act::Verdict { refused: None, .. }]));
+        assert!(sessions.outcome(1, "gone", 70, Ended::Done));
+        sessions.read("gone", None);
+        assert!(matches!(&actions(&mut sessions)[..], [Act::Verdict { refused: Some(_), .. }]));
+        assert_eq!(
+            (sessions.figures().taken, sessions.figures().refused, sessions.figures().turned_away),
+            (1, 1, 1)
+        );
     }
 }
--- a/crates/jobs/src/job_agent.rs
+++ b/crates/jobs/src/job_agent.rs
@@ -1,4 +1,4 @@
-//! The agent's side: which jobs it may work on, by its own clock alone, and which outcomes still have to be delivered.
+//! The agent's side: which jobs it may work on, by its own clock alone, and which outcomes are not delivered yet.
 
 use std::collections::BTreeMap;
 
@@ -7,131 +7,137 @@
 
 use crate::{Ended, Life, Time, Token};
 
-/// A job in hand.
+/// A job that the agent holds a lease of.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Held {
     pub token: Token,
     pub spec: String,
 }
 
-/// What an order comes to.
+/// The result of an order to begin a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Told {
-    /// Begin to work on it, once the term is on record where that is asked for.
+    /// Begin to work on it. With `record`, the order's term must be put on record first.
     Begin { record: bool },
-    /// It is known already, or was ended before.
+    /// The job is held already under this token or a higher one, or has ended under it.
     Known,
-    /// Its life is over, or an older order.
+    /// The order is for an incarnation that is over, or can't be carried out now.
     Old,
-    /// Its term is lower than one seen; this one holds.
+    /// Its term is lower than the highest known one, which this is.
     Refused(u64),
 }
 
-/// One agent. It has one life after the other: a life is a lease at the store, and ends for good when it could not be
-/// renewed in time by the agent's own reckoning, from when each renewal was *sent*.
+/// One agent. It has one incarnation after the other: each is a lease at the store, and ends for good if the agent
+/// could not renew it in time. The agent counts from when each renewal was *sent*.
 #[derive(Clone, Debug)]
 pub struct Holder {
     life: Life,
     membership: Membership,
-    room: usize,
+    capacity: usize,
     held: BTreeMap<String, Held>,
-    /// The highest token seen of each job that has an outcome waiting, so that no late order begins it again.
+    /// Outcomes that were not accepted yet, by job and token.
     outcomes: BTreeMap<(String, Token), Ended>,
-    /// The highest token that was ever begun: tokens only grow, and orders for a lower one of a job no longer held are old.
-    begun: BTreeMap<String, Token>,
-    taker: Taker<()>,
+    /// The highest token begun of each job. Tokens only grow, so that an order with this token or a lower one is old.
+    highest_begun: BTreeMap<String, Token>,
+    effect_receiver: Taker<()>,
 }
 
 impl Holder {
-    /// Jobs whose last token is remembered at most: far more than are in hand or on their way at a time. The oldest by token
-    /// go first; should an order as old as that come, its life is over.
-    const BEGUN: usize = 10_000;
+    /// The number of jobs whose highest token is remembered: far more than are held or on their way at a time. The
+    /// oldest tokens go first; an order as old as that is for an incarnation that is over.
+    const MAX_REMEMBERED_JOBS: usize = 10_000;
 
-    /// `lease`: of its lives at the store. `margin`: what it takes a job to stop.
-    pub fn new(life: Life, lease: Time, margin: Time, room: usize) -> Holder {
+    /// `lease` is the lease of its incarnations at the store, `margin` the time that it takes to stop a job.
+    pub fn new(life: Life, lease: Time, margin: Time, capacity: usize) -> Holder {
         Holder {
             life,
             membership: Membership::new(lease, margin),
-            room,
+            capacity,
             held: BTreeMap::new(),
             outcomes: BTreeMap::new(),
-            begun: BTreeMap::new(),
-            taker: Taker::new(1),
+            highest_begun: BTreeMap::new(),
+            effect_receiver: Taker::new(1),
         }
     }
 
+    /// The current incarnation.
     pub fn life(&self) -> Life {
         self.life
     }
 
-    /// The term that is on record.
+    /// Restores the term from the record after a restart.
     pub fn remember(&mut self, term: u64) {
-        self.taker.remember((), term);
+        self.effect_receiver.remember((), term);
     }
 
-    /// An outcome that is on record and was not taken yet.
+    /// Adds an outcome that is on record and was not accepted yet; the job is not held any more.
     pub fn keep(&mut self, job: &str, token: Token, ended: Ended) {
         self.held.remove(job);
         self.outcomes.insert((job.to_owned(), token), ended);
     }
 
+    /// A renewal is sent.
     pub fn renewing(&mut self, now: Time) {
         self.membership.renewing(now);
     }
 
+    /// A renewal that was sent at `sent` for an incarnation was carried out.
     pub fn renewed(&mut self, life: Life, sent: Time) {
         if life == self.life {
             self.membership.renewed(sent);
         }
     }
 
+    /// When the next renewal is due.
     pub fn renew_at(&self) -> Time {
         self.membership.renew_at()
     }
 
-    /// Whether it may work now. Looked at again right before each effect.
+    /// Returns true if it may work now. Checked again right before each effect.
     pub fn may_work(&self, now: Time) -> bool {
         self.membership.holds(now)
     }
 
+    /// When the incarnation is over by the agent's own clock.
     pub fn until(&self) -> Time {
         self.membership.until()
     }
 
-    /// The life is over: everything in hand is stopped and what it was is returned; the next life has another number.
+    /// Ends the incarnation and begins `next`. Returns the jobs that were held, all of which must stop.
     pub fn over(&mut self, next: Life, lease: Time, margin: Time) -> Vec<(String, Held)> {
         self.life = next;
         self.membership = Membership::new(lease, margin);
         std::mem::take(&mut self.held).into_iter().collect()
     }
 
-    /// An order to begin a job arrives, on behalf of the duty's owner under a term, for a life.
+    /// Handles an order to begin a job, sent on behalf of the duty's leader under a term to an incarnation.
     pub fn begin(&mut self, now: Time, term: u64, life: Life, job: &str, token: Token, spec: &str) -> Told {
-        let record = match self.taker.take((), term) {
+        let record = match self.effect_receiver.take((), term) {
             Err(Refused { holds }) => return Told::Refused(holds),
             Ok(taken) => taken == Taken::Record,
         };
         if life != self.life || !self.may_work(now) {
             return Told::Old;
         }
-        if self.begun.get(job).is_some_and(|&begun| token <= begun) {
+        if self.highest_begun.get(job).is_some_and(|&highest_begun| token <= highest_begun) {
             return Told::Known;
         }
-        if self.held.len() >= self.room && !self.held.contains_key(job) {
-            // The giver counted otherwise; it sees the job as held and this agent as at work, so it is begun when there is
-            // room: the order is repeated.
+        if self.held.len() >= self.capacity && !self.held.contains_key(job) {
+            // The scheduler counted the agent's jobs differently. It sees this one as held, so the order is repeated
+            // until there is capacity.
             return Told::Old;
         }
-        if self.begun.len() >= Self::BEGUN {
-            let oldest = self.begun.iter().min_by_key(|(_, token)| **token).map(|(job, _)| job.clone());
-            oldest.and_then(|job| self.begun.remove(&job));
+        if self.highest_begun.len() >= Self::MAX_REMEMBERED_JOBS {
+            let oldest =
+                self.highest_begun.iter().min_by_key(|(_, token)| **token).map(|(job, _)| job.clone());
+            oldest.and_then(|job| self.highest_begun.remove(&job));
         }
-        self.begun.insert(job.to_owned(), token);
+        self.highest_begun.insert(job.to_owned(), token);
         self.held.insert(job.to_owned(), Held { token, spec: spec.to_owned() });
         Told::Begin { record }
     }
 
-    /// The job is not this site's any more. Returns whether it was in hand under this token.
+    /// Stops a job that is not this site's any more. Returns true if it was held under this token.
     pub fn stop(&mut self, job: &str, token: Token) -> bool {
         if self.held.get(job).is_some_and(|held| held.token == token) {
             self.held.remove(job);
@@ -140,16 +146,17 @@
         false
     }
 
+    /// The jobs that the agent holds.
     pub fn held(&self) -> impl Iterator<Item = (&str, &Held)> {
         self.held.iter().map(|(job, held)| (job.as_str(), held))
     }
 
-    /// Outcomes that nobody has taken yet.
+    /// Outcomes that were not accepted yet.
     pub fn outcomes(&self) -> impl Iterator<Item = (&str, Token, &Ended)> {
         self.outcomes.iter().map(|((job, token), ended)| (job.as_str(), *token, ended))
     }
 
-    /// An outcome was taken, or refused for good.
+    /// Removes an outcome that was accepted, or refused for good.
     pub fn delivered(&mut self, job: &str, token: Token) {
         self.outcomes.remove(&(job.to_owned(), token));
     }
@@ -161,46 +168,50 @@
 
     const SECOND: Time = 10_000;
 
-    fn holder() -> Holder {
-        let mut holder = Holder::new(5, 4 * SECOND, SECOND / 2, 2);
-        holder.renewing(0);
-        holder.renewed(5, 0);
-        holder
+    fn agent() -> Holder {
+        let mut agent = Holder::new(5, 4 * SECOND, SECOND / 2, 2);
+        agent.renewing(0);
+        agent.renewed(5, 0);
+        agent
     }
 
     #[test]
-    fn a_life_is_reckoned_from_when_its_renewal_was_sent() {
-        let mut holder = holder();
-        assert!(holder.may_work(3 * SECOND));
-        assert!(!holder.may_work(4 * SECOND - SECOND / 2), "it stops before the store lets it go");
-        holder.renewed(6, 3 * SECOND);
-        assert!(!holder.may_work(4 * SECOND), "another life's renewal is none");
-        assert_eq!(holder.begin(4 * SECOND, 1, 5, "a", 7, ""), Told::Old);
+    fn an_incarnation_lasts_from_when_its_renewal_was_sent() {
+        let mut agent = agent();
+        assert!(agent.may_work(3 * SECOND));
+        assert!(!agent.may_work(4 * SECOND - SECOND / 2), "it stops before its lease expires at the store");
+        agent.renewed(6, 3 * SECOND);
+        assert!(!agent.may_work(4 * SECOND), "a renewal of another incarnation doesn't count");
+        assert_eq!(agent.begin(4 * SECOND, 1, 5, "a", 7, ""), Told::Old);
     }
 
     #[test]
-    fn a_job_is_begun_once_a_token_and_by_no_older_order() {
-        let mut holder = holder();
-        assert_eq!(holder.begin(0, 3, 5, "a", 70, "spec"), Told::Begin { record: true });
-        assert_eq!(holder.begin(0, 3, 5, "a", 70, "spec"), Told::Known);
-        assert_eq!(holder.begin(0, 2, 5, "b", 71, ""), Told::Refused(3));
-        assert_eq!(holder.begin(0, 3, 4, "b", 71, ""), Told::Old, "of an earlier life");
-        assert!(holder.stop("a", 70));
-        assert_eq!(holder.begin(0, 3, 5, "a", 70, ""), Told::Known, "stopped for good under this token");
-        assert_eq!(holder.begin(0, 4, 5, "a", 80, ""), Told::Begin { record: true });
-        assert!(!holder.stop("a", 70));
-        assert_eq!(holder.held().count(), 1);
+    fn a_job_begins_once_per_token_and_never_by_an_older_order() {
+        let mut agent = agent();
+        assert_eq!(agent.begin(0, 3, 5, "a", 70, "spec"), Told::Begin { record: true });
+        assert_eq!(agent.begin(0, 3, 5, "a", 70, "spec"), Told::Known);
+        assert_eq!(agent.begin(0, 2, 5, "b", 71, ""), Told::Refused(3));
+        assert_eq!(agent.begin(0, 3, 4, "b", 71, ""), Told::Old, "an order for an earlier incarnation");
+        assert!(agent.stop("a", 70));
+        assert_eq!(
+            agent.begin(0, 3, 5, "a", 70, ""),
+            Told::Known,
+            "a stopped job doesn't begin again under its token"
+        );
+        assert_eq!(agent.begin(0, 4, 5, "a", 80, ""), Told::Begin { record: true });
+        assert!(!agent.stop("a", 70));
+        assert_eq!(agent.held().count(), 1);
     }
 
     #[test]
-    fn outcomes_wait_until_they_are_delivered_whatever_life_it_is() {
-        let mut holder = holder();
-        holder.begin(0, 1, 5, "a", 70, "");
-        holder.keep("a", 70, Ended::Done);
-        assert_eq!(holder.held().count(), 0);
-        holder.over(6, SECOND, 0);
-        assert_eq!(holder.outcomes().collect::<Vec<_>>(), [("a", 70, &Ended::Done)]);
-        holder.delivered("a", 70);
-        assert_eq!(holder.outcomes().count(), 0);
+    fn outcomes_are_kept_across_incarnations_until_delivered() {
+        let mut agent = agent();
+        agent.begin(0, 1, 5, "a", 70, "");
+        agent.keep("a", 70, Ended::Done);
+        assert_eq!(agent.held().count(), 0);
+        agent.over(6, SECOND, 0);
+        assert_eq!(agent.outcomes().collect::<Vec<_>>(), [("a", 70, &Ended::Done)]);
+        agent.delivered("a", 70);
+        assert_eq!(agent.outcomes().count(), 0);
     }
 }
--- a/crates/jobs/src/job_record.rs
+++ b/crates/jobs/src/job_record.rs
@@ -1,58 +1,61 @@
-//! A job's line at the store, and what an outcome does to it.
+//! A job's line at the store, and how an outcome changes it.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Life, Token};
 
-/// A job as it is handed in. Unknown fields are its owner's and the agent's affair.
+/// A job as it was submitted. Unknown fields are for its submitter and the agent only.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Job {
-    /// On whose behalf it runs: a lender or a branch.
+    /// The user that it runs for: a lender or a branch.
     pub user: String,
     #[serde(default)]
     pub group: String,
-    /// Not to be run, or to be stopped.
+    /// The job must not be run, or must be stopped.
     #[serde(default)]
     pub cancel: bool,
 }
 
-/// Where a job is. A job that was handed in and has no line is waiting.
+/// The state of a job. A submitted job without a line is waiting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
     Waiting,
-    /// Held by the site of this life; the line's revision is the token.
+    /// Leased to the site of this incarnation; the line's revision is the token.
     Leased(Life),
-    /// Cancelled while it was held: the site stops it, or its life ends.
+    /// Cancelled while it was leased: the site stops it, or its incarnation ends.
     Ending(Life),
     Done,
-    /// Given up, with the reason in the line.
+    /// Given up for good, with the reason in `why`.
     Parked,
     Cancelled,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+/// The scheduling state of a job.
 pub struct Line {
     pub state: State,
-    /// The last token that it was given out under, but for the line's own; 0: none.
+    /// The last token that it was leased under, other than the line's own revision; 0 if there is none.
     #[serde(default)]
     pub last: Token,
-    /// How often it has been given out.
+    /// How often it has been leased.
     #[serde(default)]
     pub attempts: u32,
-    /// The term of the duty under which it was last given out or ended.
+    /// The term of the duty under which it was last leased or ended.
     #[serde(default)]
     pub term: u64,
     #[serde(default, skip_serializing_if = "String::is_empty")]
+    /// Why the job is in this state, where there is something to say.
     pub why: String,
 }
 
 impl Line {
+    /// A line of a job that was never leased.
     pub fn new(state: State) -> Line {
         Line { state, last: 0, attempts: 0, term: 0, why: String::new() }
     }
 
-    /// The token of whoever was last given the job. `modified`: the line's revision.
+    /// Returns the token of the latest lease. `modified`: the line's revision.
     pub fn token(&self, modified: u64) -> Token {
         match self.state {
             State::Leased(_) => modified,
@@ -60,6 +63,7 @@
         }
     }
 
+    /// Returns the site that holds the job.
     pub fn site(&self) -> Option<Life> {
         match self.state {
             State::Leased(site) | State::Ending(site) => Some(site),
@@ -72,27 +76,27 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Ended {
     Done,
-    /// With the reason.
+    /// Failed, with the reason.
     Failed(String),
-    /// It was stopped, as it was cancelled.
+    /// Stopped, since it was cancelled.
     Stopped,
 }
 
-/// What becomes of an outcome.
+/// The decision on an outcome.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The line is to be written so, compared with what it is; only once that is done the outcome is taken.
-    Take(Line),
-    /// It has been taken before.
-    Taken,
-    /// It is refused for good.
+    /// Write this line if it is still as it was read; the outcome is accepted only once that is done.
+    Accept(Line),
+    /// It was accepted before.
+    AlreadyAccepted,
+    /// It is refused for good, with the reason.
     Refused(&'static str),
 }
 
-/// Decides on an outcome that bears a token. `line`: as it is at the store, with its revision.
+/// Decides on an outcome that bears a token. `line` is the job's line at the store and `modified` its revision.
 ///
-/// One that comes late, from a lease that has ended, is taken where nobody was given the job since: the work is done.
-pub fn judge(line: &Line, modified: u64, token: Token, ended: &Ended) -> Verdict {
+/// A late outcome, from a lease that has ended, is accepted if the job was not leased again since: the work is done.
+pub fn decide_outcome(line: &Line, modified: u64, token: Token, ended: &Ended) -> Verdict {
     let last = line.token(modified);
     if token == 0 || token > last {
         return Verdict::Refused("the job was never given out under this token");
@@ -100,18 +104,18 @@
     if token < last {
         return Verdict::Refused("the job was given out again since");
     }
-    let to = |state: State, why: &str| {
-        Verdict::Take(Line { state, last, attempts: line.attempts, term: line.term, why: why.to_owned() })
+    let accept = |state: State, why: &str| {
+        Verdict::Accept(Line { state, last, attempts: line.attempts, term: line.term, why: why.to_owned() })
     };
     match (line.state, ended) {
-        (State::Done, Ended::Done) => Verdict::Taken,
-        (State::Leased(_) | State::Waiting | State::Ending(_), Ended::Done) => to(State::Done, ""),
-        (State::Leased(_), Ended::Failed(why)) => to(State::Waiting, why),
-        // Its lease ended before: the attempt is counted already.
-        (State::Waiting, Ended::Failed(_) | Ended::Stopped) => Verdict::Taken,
-        (State::Ending(_), Ended::Failed(_) | Ended::Stopped) => to(State::Cancelled, "cancelled"),
-        (State::Leased(_), Ended::Stopped) => to(State::Waiting, "its site stopped it"),
-        (State::Parked, Ended::Done) => to(State::Done, ""),
+        (State::Done, Ended::Done) => Verdict::AlreadyAccepted,
+        (State::Leased(_) | State::Waiting | State::Ending(_), Ended::Done) => accept(State::Done, ""),
+        (State::Leased(_), Ended::Failed(why)) => accept(State::Waiting, why),
+        // Its lease ended before, and the attempt is counted already.
+        (State::Waiting, Ended::Failed(_) | Ended::Stopped) => Verdict::AlreadyAccepted,
+        (State::Ending(_), Ended::Failed(_) | Ended::Stopped) => accept(State::Cancelled, "cancelled"),
+        (State::Leased(_), Ended::Stopped) => accept(State::Waiting, "its site stopped it"),
+        (State::Parked, Ended::Done) => accept(State::Done, ""),
         (State::Cancelled | State::Parked, _) => Verdict::Refused("the job is not wanted any more"),
         (State::Done, _) => Verdict::Refused("the job is done"),
     }
@@ -126,44 +130,57 @@
     }
 
     #[test]
-    fn an_outcome_is_taken_once_by_its_token() {
-        let Verdict::Take(done) = judge(&leased(), 70, 70, &Ended::Done) else { panic!("refused") };
+    fn an_outcome_is_accepted_once_per_token() {
+        let Verdict::Accept(done) = decide_outcome(&leased(), 70, 70, &Ended::Done) else {
+            panic!("refused")
+        };
         assert_eq!((done.state, done.last), (State::Done, 70));
-        assert_eq!(judge(&done, 71, 70, &Ended::Done), Verdict::Taken);
-        assert!(matches!(judge(&done, 71, 69, &Ended::Done), Verdict::Refused(_)));
-        assert!(matches!(judge(&leased(), 70, 71, &Ended::Done), Verdict::Refused(_)), "no such token yet");
-        assert!(matches!(judge(&leased(), 70, 0, &Ended::Done), Verdict::Refused(_)));
+        assert_eq!(decide_outcome(&done, 71, 70, &Ended::Done), Verdict::AlreadyAccepted);
+        assert!(matches!(decide_outcome(&done, 71, 69, &Ended::Done), Verdict::Refused(_)));
+        assert!(
+            matches!(decide_outcome(&leased(), 70, 71, &Ended::Done), Verdict::Refused(_)),
+            "a token that was never issued"
+        );
+        assert!(matches!(decide_outcome(&leased(), 70, 0, &Ended::Done), Verdict::Refused(_)));
     }
 
     #[test]
-    fn a_late_outcome_is_taken_unless_the_job_was_given_out_since() {
+    fn a_late_outcome_is_accepted_unless_the_job_was_leased_again() {
         let waiting = Line { state: State::Waiting, last: 70, ..leased() };
-        assert!(matches!(judge(&waiting, 90, 70, &Ended::Done), Verdict::Take(_)));
-        assert_eq!(judge(&waiting, 90, 70, &Ended::Failed("x".into())), Verdict::Taken, "counted already");
-        let again = Line { state: State::Leased(6), last: 70, ..leased() };
+        assert!(matches!(decide_outcome(&waiting, 90, 70, &Ended::Done), Verdict::Accept(_)));
+        assert_eq!(
+            decide_outcome(&waiting, 90, 70, &Ended::Failed("x".into())),
+            Verdict::AlreadyAccepted,
+            "the attempt is counted already"
+        );
+        let leased_again = Line { state: State::Leased(6), last: 70, ..leased() };
         assert_eq!(
-            judge(&again, 95, 70, &Ended::Done),
+            decide_outcome(&leased_again, 95, 70, &Ended::Done),
             Verdict::Refused("the job was given out again since")
         );
-        assert!(matches!(judge(&again, 95, 95, &Ended::Done), Verdict::Take(_)));
+        assert!(matches!(decide_outcome(&leased_again, 95, 95, &Ended::Done), Verdict::Accept(_)));
     }
 
     #[test]
-    fn what_is_cancelled_in_hand_is_stopped_or_done() {
-        let ending = Line { state: State::Ending(5), last: 70, ..leased() };
-        let Verdict::Take(line) = judge(&ending, 80, 70, &Ended::Stopped) else { panic!("refused") };
+    fn a_job_cancelled_while_leased_is_stopped_or_done() {
+        let cancelling = Line { state: State::Ending(5), last: 70, ..leased() };
+        let Verdict::Accept(line) = decide_outcome(&cancelling, 80, 70, &Ended::Stopped) else {
+            panic!("refused")
+        };
         assert_eq!(line.state, State::Cancelled);
-        let Verdict::Take(line) = judge(&ending, 80, 70, &Ended::Done) else { panic!("refused") };
-        assert_eq!(line.state, State::Done, "what is done is done");
-        assert!(matches!(judge(&line, 81, 70, &Ended::Stopped), Verdict::Refused(_)));
+        let Verdict::Accept(line) = decide_outcome(&cancelling, 80, 70, &Ended::Done) else {
+            panic!("refused")
+        };
+        assert_eq!(line.state, State::Done, "a finished job stays done");
+        assert!(matches!(decide_outcome(&line, 81, 70, &Ended::Stopped), Verdict::Refused(_)));
     }
 
     #[test]
-    fn lines_read_back_as_they_were_written() {
+    fn a_line_survives_a_round_trip() {
         for state in [State::Waiting, State::Leased(u64::MAX), State::Ending(7), State::Done, State::Parked] {
             let line = Line { why: "a \"reason\"".to_owned(), ..Line::new(state) };
-            let text = serde_json::to_string(&line).expect("written");
-            assert_eq!(serde_json::from_str::<Line>(&text).expect("read"), line);
+            let text = serde_json::to_string(&line).expect("a line serialises");
+            assert_eq!(serde_json::from_str::<Line>(&text).expect("a line deserialises"), line);
         }
     }
 }
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -1,12 +1,14 @@
-//! Leases of jobs held by sites. Pure: no I/O, no clock; times are whole tenths of a millisecond, handed in.
+//! Leases of jobs held by sites. Pure: no I/O and no clock; the caller passes in the times.
 //!
-//! A *job* takes effect once, whoever runs it; a *site* is a group of plan servers with one agent that takes jobs and runs
-//! them. Each job has one line at the store, written only by comparing it with what it was: the revision of the write that
-//! gives it to a site is its *token*, and tokens only grow. A site is bound to a lease of its own at the store, which any
-//! steward renews on its behalf; a job is given out again only in a transaction that finds the site's key gone.
+//! A *job* takes effect once, whichever site runs it; a *site* is a group of plan servers with one agent that runs
+//! its jobs. Each job has one entry at the store, its line, which is only written if it is still as it was read: the
+//! revision of the write that leases it to a site is its *token*, and tokens only grow. A site is bound to a lease of
+//! its own at the store, which any steward renews on its behalf; a job is leased again only in a transaction that
+//! finds the site's key gone.
 //!
-//! [`Line`] is that line; [`Giver`] decides for the owner of the duty; [`judge`] decides on an outcome at any steward;
-//! [`Holder`] is the agent's side. `docs/design/jobs.md` has the reasoning.
+//! [`Line`] is a job's line; [`Giver`] decides for the leader of the duty; [`Desk`] is a steward's end of the agents'
+//! sessions; [`decide_outcome`] decides on an outcome at any steward; [`Holder`] is the agent's side. `docs/design/jobs.md`
+//! has the reasoning.
 
 mod agent_sessions;
 mod job_agent;
@@ -15,9 +17,9 @@
 
 pub use agent_sessions::{Act, Desk, Figures as DeskFigures, Hello};
 pub use job_agent::{Held, Holder, Told};
-pub use job_record::{judge, Ended, Job, Line, State, Verdict};
+pub use job_record::{decide_outcome, Ended, Job, Line, State, Verdict};
 pub use ravenspar_sharing::{Life, Time};
 pub use scheduler::{Figures, Giver, Limits, Site, Write};
 
-/// The revision of the write by which a job was given out.
+/// The revision of the write by which a job was leased to a site.
 pub type Token = u64;
--- a/crates/jobs/src/scheduler.rs
+++ b/crates/jobs/src/scheduler.rs
@@ -1,62 +1,65 @@
-//! What the owner of the duty decides: which leases have ended, which job goes to which site next, what is given up.
+//! The decisions of the duty's leader: which leases have ended, which job goes to which site next, and which jobs are
+//! given up.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
 use crate::{Job, Life, Line, State, Time};
 
-/// A site as the store has it: its key is there as long as its life's lease is.
+/// A site as the store has it. Its key exists as long as the lease of its incarnation does.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Site {
     pub life: Life,
     pub name: String,
-    /// Jobs that it takes at a time.
+    /// The number of jobs that it can run at a time.
     pub room: usize,
 }
 
-/// Bounds, each of the settings.
+/// Limits, from the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Limits {
-    /// Jobs known at most; those past it wait unseen until others are gone.
+    /// The number of jobs known at a time. Further jobs are ignored until others are gone.
     pub jobs: usize,
-    /// How often a job is given out before it is parked.
+    /// How often a job is leased before it is parked.
     pub attempts: u32,
-    /// How long a job waits after its first failed attempt; twice that after each further one.
+    /// The delay before the second attempt; it doubles with each further one.
     pub again: Time,
-    /// For so long after it was first seen a site is cold: it gets a quarter of its room.
+    /// How long a site is cold after it was first seen: until then it gets a quarter of its capacity.
     pub cold: Time,
-    /// How long ends are held back where most sites went at once.
+    /// How long leases are left alone after most sites were lost at once.
     pub most_gone: Time,
-    /// A job that has waited this long goes before any ranking.
+    /// A job that has waited this long goes first, whatever its user owes.
     pub wait: Time,
-    /// Lines written in one transaction.
+    /// The number of lines written in one transaction.
     pub writes: usize,
 }
 
-/// A line to be written, compared with what it is, and with the site's key.
+/// A line to write, if the line and the site's key at the store are as stated here.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Write {
     pub job: String,
-    /// The line's revision; 0: there is none.
+    /// The line's revision; 0 if there is none.
     pub seen: u64,
     pub line: Line,
-    /// The site's key has to be there (given out) or gone (ended).
+    /// The site whose key must exist (the job is leased to it).
     pub there: Option<Life>,
+    /// The site whose key must be gone (its lease is ended).
     pub gone: Option<Life>,
-    /// Nothing is kept of the job: whoever handed it in has deleted it, and it is over.
+    /// The line is deleted: the job is over, and its submitter has deleted it.
     pub delete: bool,
 }
 
+/// Metrics of the scheduler.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Figures {
-    /// Jobs known, and of them waiting, held, parked.
+    /// The number of jobs known, and how many of them are waiting, held and parked.
     pub jobs: usize,
     pub waiting: usize,
     pub held: usize,
     pub parked: usize,
-    /// Jobs past the bound that were left out.
+    /// Jobs ignored since they were past the limit.
     pub left_out: u64,
-    /// Ends held back at the moment, as most sites went at once.
+    /// Leases of lost sites are left alone at the moment, as most sites were lost at once.
     pub held_back: bool,
     pub given: u64,
     pub ended: u64,
@@ -65,64 +68,66 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Entry {
     job: Option<Job>,
-    /// What is wrong with it, where it can't be read.
-    bad: Option<String>,
-    /// All jobs were looked through, and it was not there.
-    swept: bool,
-    /// The revision at which it was handed in: its age.
+    /// Why the job can't be read, if it can't.
+    unreadable: Option<String>,
+    /// All jobs were read, and this one was not among them.
+    missing: bool,
+    /// The revision at which it was submitted: its age.
     created: u64,
     line: Option<(Line, u64)>,
-    /// When it was first seen waiting, and before when it is not given out.
+    /// When it was first seen waiting, and the time before which it is not leased.
     since: Time,
     not_before: Time,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Known {
+struct KnownSite {
     site: Site,
-    /// Since when it is seen, and how many jobs it holds by the lines.
+    /// When it was first seen, and how many jobs it holds according to the lines.
     since: Time,
     held: usize,
-    /// Jobs that it has had since it is seen, while it is cold.
+    /// Jobs leased to it since it was first seen, which bounds what it gets while it is cold.
     given_cold: usize,
 }
 
-/// One term of the duty. Whoever comes after begins with what the store says, and gives every wait its whole time anew.
+/// The scheduler of one term of the duty. Its successor begins with what the store has, and starts every wait again
+/// in full.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Giver {
     limits: Limits,
     term: u64,
     entries: BTreeMap<String, Entry>,
-    sites: BTreeMap<Life, Known>,
+    sites: BTreeMap<Life, KnownSite>,
     /// Waiting jobs of each user, the oldest first.
     waiting: BTreeMap<String, BTreeSet<(u64, String)>>,
-    /// All waiting jobs by since when, for the bound on the wait.
+    /// All waiting jobs by when they were first seen waiting, for the limit on the wait.
     oldest: BTreeSet<(Time, u64, String)>,
-    /// Held jobs of each user.
-    in_hand: BTreeMap<String, usize>,
-    /// Held by sites that are gone.
+    /// The number of held jobs of each user.
+    held_by_user: BTreeMap<String, usize>,
+    /// Jobs held by sites that are gone.
     orphans: BTreeSet<String>,
-    /// Cancelled, deleted or not to be read, and not yet written so.
+    /// Jobs that are cancelled, deleted or unreadable, whose lines don't show it yet.
     unwanted: BTreeSet<String>,
-    /// What each user with waiting jobs owes, by the ranking in use.
+    /// The debt of each user with waiting jobs, by the ranking in use.
     debts: BTreeMap<String, u64>,
-    /// Those users by what they owe, with what they have in hand counted as the mean.
-    order: BTreeSet<(u64, String)>,
-    /// Users with waiting jobs whose debts were not asked for yet.
+    /// Those users by debt, where each held job counts with the mean.
+    by_debt: BTreeSet<(u64, String)>,
+    /// Users with waiting jobs whose debts were not looked up yet.
     unranked: BTreeSet<String>,
-    /// What a job in hand counts as, until its use is known: the mean use of a job.
+    /// The debt that a held job counts as until its use is known: that of a job of mean use.
     mean: u64,
-    /// Sites that went and when they last did, while that is recent: by name, as one that can't hear goes under one life
-    /// after the other.
-    went: BTreeMap<String, Time>,
+    /// Sites lost lately, and when. By name, as a site that can't receive goes through one incarnation after the
+    /// other.
+    lost_sites: BTreeMap<String, Time>,
     held_back_until: Time,
-    busy: bool,
+    write_pending: bool,
     figures: Figures,
 }
 
 impl Giver {
-    /// How recent is recent where most sites went at once: sites cut off together go within a renewal of one another.
-    const TOGETHER: Time = 50_000;
+    /// How close together losses of sites count as one event: sites cut off together are lost within a renewal of one
+    /// another.
+    const SAME_LOSS_WINDOW: Time = 50_000;
 
     pub fn new(term: u64, limits: Limits) -> Giver {
         Giver {
@@ -132,63 +137,65 @@
             sites: BTreeMap::new(),
             waiting: BTreeMap::new(),
             oldest: BTreeSet::new(),
-            in_hand: BTreeMap::new(),
+            held_by_user: BTreeMap::new(),
             orphans: BTreeSet::new(),
             unwanted: BTreeSet::new(),
             debts: BTreeMap::new(),
-            order: BTreeSet::new(),
+            by_debt: BTreeSet::new(),
             unranked: BTreeSet::new(),
             mean: 1,
-            went: BTreeMap::new(),
+            lost_sites: BTreeMap::new(),
             held_back_until: Time::MIN,
-            busy: false,
+            write_pending: false,
             figures: Figures::default(),
         }
     }
 
+    /// Returns the current metrics.
     pub fn figures(&self) -> Figures {
         let parked = |entry: &&Entry| matches!(&entry.line, Some((line, _)) if line.state == State::Parked);
         Figures {
             jobs: self.entries.len(),
             waiting: self.oldest.len(),
-            held: self.in_hand.values().sum(),
+            held: self.held_by_user.values().sum(),
             parked: self.entries.values().filter(parked).count(),
             ..self.figures
         }
     }
 
-    /// Another ranking is in use from here on. `mean`: what a job in hand counts as, until its use is known.
+    /// Starts to use another ranking. `mean`: the debt that a held job counts as until its use is known.
     pub fn rank(&mut self, mean: u64) {
         self.mean = mean.max(1);
-        self.order.clear();
+        self.by_debt.clear();
         self.debts.clear();
         self.unranked = self.waiting.keys().cloned().collect();
     }
 
-    /// What a user owes with what it has in hand.
+    /// The debt of a user including its held jobs.
     fn owes(&self, user: &str) -> Option<u64> {
-        let held = self.in_hand.get(user).copied().unwrap_or(0) as u64;
+        let held = self.held_by_user.get(user).copied().unwrap_or(0) as u64;
         Some(self.debts.get(user)?.saturating_add(held.saturating_mul(self.mean)))
     }
 
-    fn order(&mut self, user: &str, into: bool) {
+    fn update_order(&mut self, user: &str, into: bool) {
         if let Some(owes) = self.owes(user) {
-            let place = (owes, user.to_owned());
-            let _ = if into { self.order.insert(place) } else { self.order.remove(&place) };
+            let debt_and_user = (owes, user.to_owned());
+            let _ =
+                if into { self.by_debt.insert(debt_and_user) } else { self.by_debt.remove(&debt_and_user) };
         }
     }
 
-    /// The sites whose keys are at the store, all of them.
+    /// Takes all sites whose keys are at the store.
     pub fn sites(&mut self, now: Time, sites: Vec<Site>) {
         let there: BTreeSet<Life> = sites.iter().map(|site| site.life).collect();
         let mut names: BTreeSet<String> = self.sites.values().map(|known| known.site.name.clone()).collect();
         names.extend(sites.iter().map(|site| site.name.clone()));
         let gone: Vec<Life> = self.sites.keys().filter(|life| !there.contains(life)).copied().collect();
         for life in gone {
-            // One that comes back under another life at once is no loss.
+            // A site that is back under another incarnation at once is not lost.
             if let Some(known) = self.sites.remove(&life) {
                 if !sites.iter().any(|site| site.name == known.site.name) {
-                    self.went.insert(known.site.name, now);
+                    self.lost_sites.insert(known.site.name, now);
                 }
             }
             let held = |entry: &Entry| entry.line.as_ref().is_some_and(|(line, _)| line.site() == Some(life));
@@ -196,11 +203,12 @@
             let orphans: Vec<String> = orphans.map(|(job, _)| job.clone()).collect();
             self.orphans.extend(orphans);
         }
-        self.went.retain(|_, at| now < *at + Self::TOGETHER);
-        names.extend(self.went.keys().cloned());
-        // Most sites at once: it is more likely the stewards' own network. They come back under new lives, with what they
-        // have done in hand; until then the few that are left are spared the jobs of all.
-        if names.len() > 1 && 2 * self.went.len() > names.len() {
+        self.lost_sites.retain(|_, at| now < *at + Self::SAME_LOSS_WINDOW);
+        names.extend(self.lost_sites.keys().cloned());
+        // If most sites are lost at once, it is more likely the stewards' own network. The sites come back as new
+        // incarnations, with the outcomes of what they did meanwhile; until then the few sites left are not flooded
+        // with the jobs of all.
+        if names.len() > 1 && 2 * self.lost_sites.len() > names.len() {
             self.held_back_until = self.held_back_until.max(now + self.limits.most_gone);
         }
         for site in sites {
@@ -211,60 +219,60 @@
                 continue;
             }
             let held = self.entries.values().filter(held).count();
-            self.sites.insert(site.life, Known { site, since: now, held, given_cold: held });
+            self.sites.insert(site.life, KnownSite { site, since: now, held, given_cold: held });
         }
     }
 
-    /// A job as it was handed in, or as it is now; or what is wrong with it: then it is parked.
+    /// Takes a job as it is at the store, or the reason why it can't be read: then it is parked.
     pub fn job(&mut self, now: Time, id: &str, created: u64, job: Result<Job, String>) {
-        if !self.known(now, id) {
+        if !self.ensure_entry(now, id) {
             return;
         }
         self.change(now, id, |entry| {
-            (entry.job, entry.bad) = match job {
+            (entry.job, entry.unreadable) = match job {
                 Ok(job) => (Some(job), None),
                 Err(why) => (None, Some(why)),
             };
-            (entry.created, entry.swept) = (created, false);
+            (entry.created, entry.missing) = (created, false);
         });
     }
 
-    /// All jobs that there are: those that were deleted are cancelled where they are not over, and forgotten where they are.
+    /// Takes the ids of all jobs that exist. A deleted job is cancelled if it is not over, and forgotten if it is.
     pub fn all_jobs(&mut self, now: Time, there: &BTreeSet<&str>) {
         let gone: Vec<String> =
             self.entries.keys().filter(|id| !there.contains(id.as_str())).cloned().collect();
         for id in gone {
-            self.change(now, &id, |entry| (entry.job, entry.bad, entry.swept) = (None, None, true));
+            self.change(now, &id, |entry| (entry.job, entry.unreadable, entry.missing) = (None, None, true));
         }
     }
 
-    /// A line as the store has it at a revision.
+    /// Takes a line as the store has it at a revision.
     pub fn line(&mut self, now: Time, id: &str, line: Line, modified: u64) {
-        if !self.known(now, id) {
+        if !self.ensure_entry(now, id) {
             return;
         }
-        let again = self.limits.again;
+        let retry_delay = self.limits.again;
         self.change(now, id, |entry| {
             if entry.line.as_ref().is_some_and(|(_, seen)| *seen >= modified) {
                 return;
             }
             if line.state == State::Waiting {
-                // It is not known since when it waits: from now on, the whole time.
+                // It is not known how long it has waited already, so the whole wait starts now.
                 let doublings = line.attempts.saturating_sub(1).min(6);
-                entry.not_before = now + if line.attempts == 0 { 0 } else { again << doublings };
+                entry.not_before = now + if line.attempts == 0 { 0 } else { retry_delay << doublings };
             }
             entry.line = Some((line, modified));
         });
     }
 
-    /// A line or a job was deleted by its owner: nothing is kept of it.
+    /// Forgets a job whose line was deleted.
     pub fn forget(&mut self, now: Time, id: &str) {
-        self.change(now, id, |entry| (entry.job, entry.bad, entry.line) = (None, None, None));
+        self.change(now, id, |entry| (entry.job, entry.unreadable, entry.line) = (None, None, None));
         self.unwanted.remove(id);
         self.entries.remove(id);
     }
 
-    fn known(&mut self, now: Time, id: &str) -> bool {
+    fn ensure_entry(&mut self, now: Time, id: &str) -> bool {
         if self.entries.contains_key(id) {
             return true;
         }
@@ -272,39 +280,46 @@
             self.figures.left_out += 1;
             return false;
         }
-        let entry =
-            Entry { job: None, bad: None, swept: false, created: 0, line: None, since: now, not_before: now };
+        let entry = Entry {
+            job: None,
+            unreadable: None,
+            missing: false,
+            created: 0,
+            line: None,
+            since: now,
+            not_before: now,
+        };
         self.entries.insert(id.to_owned(), entry);
         true
     }
 
-    /// Takes a job out of all orders, changes it, and puts it where it belongs.
+    /// Takes a job out of all indexes, changes it, and puts it back.
     fn change(&mut self, now: Time, id: &str, change: impl FnOnce(&mut Entry)) {
         let Some(mut entry) = self.entries.remove(id) else { return };
-        let was_waiting = self.place(id, &entry, false);
+        let was_waiting = self.update_indexes(id, &entry, false);
         change(&mut entry);
-        if !was_waiting && waits(&entry) {
+        if !was_waiting && is_waiting(&entry) {
             entry.since = now;
         }
-        self.place(id, &entry, true);
+        self.update_indexes(id, &entry, true);
         self.entries.insert(id.to_owned(), entry);
     }
 
-    /// Puts a job into the orders that it belongs to, or takes it out of them. Returns whether it waits.
-    fn place(&mut self, id: &str, entry: &Entry, into: bool) -> bool {
+    /// Puts a job into the indexes that it belongs to, or takes it out of them. Returns true if it waits.
+    fn update_indexes(&mut self, id: &str, entry: &Entry, into: bool) -> bool {
         let user = entry.job.as_ref().map_or("", |job| job.user.as_str());
-        let (at, age) = ((entry.created, id.to_owned()), (entry.since, entry.created, id.to_owned()));
-        let waits = waits(entry);
-        self.order(user, false);
-        if waits && into {
+        let (queue_key, age) = ((entry.created, id.to_owned()), (entry.since, entry.created, id.to_owned()));
+        let waiting = is_waiting(entry);
+        self.update_order(user, false);
+        if waiting && into {
             if !self.waiting.contains_key(user) {
                 self.unranked.insert(user.to_owned());
             }
-            self.waiting.entry(user.to_owned()).or_default().insert(at);
+            self.waiting.entry(user.to_owned()).or_default().insert(queue_key);
             self.oldest.insert(age);
-        } else if waits {
+        } else if waiting {
             if let Some(queue) = self.waiting.get_mut(user) {
-                queue.remove(&at);
+                queue.remove(&queue_key);
                 if queue.is_empty() {
                     self.waiting.remove(user);
                     self.debts.remove(user);
@@ -314,10 +329,10 @@
             self.oldest.remove(&age);
         }
         if let Some(site) = entry.line.as_ref().and_then(|(line, _)| line.site()) {
-            let count = self.in_hand.entry(user.to_owned()).or_default();
+            let count = self.held_by_user.entry(user.to_owned()).or_default();
             *count = if into { *count + 1 } else { count.saturating_sub(1) };
             if *count == 0 {
-                self.in_hand.remove(user);
+                self.held_by_user.remove(user);
             }
             match self.sites.get_mut(&site) {
                 Some(known) if into => known.held += 1,
@@ -330,38 +345,38 @@
                 self.orphans.remove(id);
             }
         }
-        self.order(user, true);
+        self.update_order(user, true);
         if into && unwanted(entry).is_some() {
             self.unwanted.insert(id.to_owned());
         } else {
             self.unwanted.remove(id);
         }
-        waits
+        waiting
     }
 
-    /// The next lines to write, in one transaction; none while one is under way. `owes`: what a user owes by the ranking in
-    /// use.
+    /// Returns the next lines to write, in one transaction; none while another one is under way. `owes` returns a
+    /// user's debt by the ranking in use.
     pub fn next(&mut self, now: Time, owes: impl Fn(&str) -> u64) -> Vec<Write> {
-        if self.busy {
+        if self.write_pending {
             return Vec::new();
         }
         for user in std::mem::take(&mut self.unranked) {
             let debt = owes(&user);
             self.debts.insert(user.clone(), debt);
-            self.order(&user, true);
+            self.update_order(&user, true);
         }
-        let mut writes = self.cancel();
+        let mut writes = self.close_unwanted();
         if writes.is_empty() {
-            writes = self.end(now);
+            writes = self.end_orphaned_leases(now);
         }
         if writes.is_empty() {
-            writes = self.give(now);
+            writes = self.assign(now);
         }
-        self.busy = !writes.is_empty();
+        self.write_pending = !writes.is_empty();
         writes
     }
 
-    fn write(&self, id: &str, state: State, why: &str) -> Option<Write> {
+    fn prepare_write(&self, id: &str, state: State, why: &str) -> Option<Write> {
         let entry = self.entries.get(id)?;
         let (line, seen) = match &entry.line {
             Some((line, seen)) => (line.clone(), *seen),
@@ -373,7 +388,7 @@
         Some(Write { job: id.to_owned(), seen, line, there: None, gone: None, delete: false })
     }
 
-    fn cancel(&self) -> Vec<Write> {
+    fn close_unwanted(&self) -> Vec<Write> {
         let writes = self.unwanted.iter().take(self.limits.writes).filter_map(|id| {
             let entry = self.entries.get(id)?;
             let (state, why) = match unwanted(entry)? {
@@ -383,16 +398,16 @@
                 }
                 Unwanted::Park(why) => (State::Parked, why),
                 Unwanted::Delete => {
-                    return Some(Write { delete: true, ..self.write(id, State::Cancelled, "")? })
+                    return Some(Write { delete: true, ..self.prepare_write(id, State::Cancelled, "")? })
                 }
             };
-            self.write(id, state, why)
+            self.prepare_write(id, state, why)
         });
         writes.collect()
     }
 
     /// Ends the leases of sites that are gone.
-    fn end(&mut self, now: Time) -> Vec<Write> {
+    fn end_orphaned_leases(&mut self, now: Time) -> Vec<Write> {
         self.figures.held_back = now < self.held_back_until && !self.orphans.is_empty();
         if self.figures.held_back {
             return Vec::new();
@@ -403,59 +418,59 @@
                 State::Ending(_) => (State::Cancelled, "cancelled, and its site is gone"),
                 _ => (State::Waiting, "its site is gone"),
             };
-            Some(Write { gone: line.site(), ..self.write(id, state, why)? })
+            Some(Write { gone: line.site(), ..self.prepare_write(id, state, why)? })
         });
-        // Few sites, so that each comparison of a site's key stands once.
+        // The writes name few sites, and each site's key is compared only once.
         writes.take(self.limits.writes).collect()
     }
 
-    /// Room at a site: all of it, or a quarter while it is cold.
-    fn room(&self, now: Time, known: &Known) -> usize {
-        let room = known.site.room;
+    /// Returns the free capacity of a site: of all its capacity, or of a quarter while it is cold.
+    fn free_capacity(&self, now: Time, known: &KnownSite) -> usize {
+        let capacity = known.site.room;
         if now >= known.since + self.limits.cold {
-            return room.saturating_sub(known.held);
+            return capacity.saturating_sub(known.held);
         }
-        // Jobs that it finishes while it is cold warm it up; what it is given until then is bounded as well.
-        let cold = room.div_ceil(4);
-        cold.saturating_sub(known.held).min(room.saturating_sub(known.given_cold))
+        // Jobs that it finishes while it is cold warm it up, but what it is given until then is bounded as well.
+        let cold = capacity.div_ceil(4);
+        cold.saturating_sub(known.held).min(capacity.saturating_sub(known.given_cold))
     }
 
-    fn give(&mut self, now: Time) -> Vec<Write> {
-        let mut rooms: Vec<(usize, Life)> =
-            self.sites.values().map(|known| (self.room(now, known), known.site.life)).collect();
+    fn assign(&mut self, now: Time) -> Vec<Write> {
+        let mut capacities: Vec<(usize, Life)> =
+            self.sites.values().map(|known| (self.free_capacity(now, known), known.site.life)).collect();
         let mut writes: Vec<Write> = Vec::new();
         let mut chosen: BTreeSet<String> = BTreeSet::new();
-        // Users that were chosen from already: what they owe with that, and the last of their jobs.
-        let mut again: BTreeSet<(u64, &str)> = BTreeSet::new();
-        let mut at: BTreeMap<&str, &(u64, String)> = BTreeMap::new();
+        // Users chosen already: their debt including the chosen jobs, and the last of those jobs.
+        let mut chosen_users: BTreeSet<(u64, &str)> = BTreeSet::new();
+        let mut last_chosen: BTreeMap<&str, &(u64, String)> = BTreeMap::new();
         let due = |id: &str| self.entries.get(id).is_some_and(|entry| now >= entry.not_before);
-        // Those that have waited too long, by age alone.
-        let mut late = self
+        // Jobs that have waited too long, by age alone.
+        let mut overdue = self
             .oldest
             .iter()
             .take_while(|(since, ..)| now >= since + self.limits.wait)
             .map(|(.., id)| id.as_str())
             .filter(|id| due(id))
             .peekable();
-        let mut order = self.order.iter().map(|(owes, user)| (*owes, user.as_str())).peekable();
+        let mut by_debt = self.by_debt.iter().map(|(owes, user)| (*owes, user.as_str())).peekable();
         while writes.len() < self.limits.writes {
-            // The site with the most room; the first among equals.
-            rooms.sort_by_key(|&(room, life)| (std::cmp::Reverse(room), life));
-            let Some((room, site)) = rooms.first_mut().filter(|(room, _)| *room > 0) else { break };
-            let id = match late.next() {
+            // The site with the most free capacity; ties go to the lowest incarnation.
+            capacities.sort_by_key(|&(free, life)| (std::cmp::Reverse(free), life));
+            let Some((free, site)) = capacities.first_mut().filter(|(free, _)| *free > 0) else { break };
+            let id = match overdue.next() {
                 Some(id) => id,
                 None => {
-                    let first = match (order.peek(), again.first()) {
-                        (Some(next), Some(old)) if old < next => again.pop_first(),
-                        (Some(_), _) => order.next(),
-                        (None, _) => again.pop_first(),
+                    let first = match (by_debt.peek(), chosen_users.first()) {
+                        (Some(next), Some(old)) if old < next => chosen_users.pop_first(),
+                        (Some(_), _) => by_debt.next(),
+                        (None, _) => chosen_users.pop_first(),
                     };
                     let Some((owes, user)) = first else { break };
-                    let from = at.get(user).map_or(Bound::Unbounded, |last| Bound::Excluded(*last));
+                    let from = last_chosen.get(user).map_or(Bound::Unbounded, |last| Bound::Excluded(*last));
                     let mut after = self.waiting[user].range((from, Bound::Unbounded));
                     let Some(next) = after.find(|(_, id)| due(id)) else { continue };
-                    at.insert(user, next);
-                    again.insert((owes.saturating_add(self.mean), user));
+                    last_chosen.insert(user, next);
+                    chosen_users.insert((owes.saturating_add(self.mean), user));
                     next.1.as_str()
                 }
             };
@@ -466,20 +481,22 @@
             if attempts >= self.limits.attempts {
                 let why = self.entries[id].line.as_ref().map_or("", |(line, _)| line.why.as_str());
                 let why = format!("given up after {attempts} attempts: {why}");
-                writes.extend(self.write(id, State::Parked, &why));
+                writes.extend(self.prepare_write(id, State::Parked, &why));
                 continue;
             }
-            *room -= 1;
+            *free -= 1;
             let site = *site;
-            writes.extend(self.write(id, State::Leased(site), "").map(|w| Write { there: Some(site), ..w }));
+            writes.extend(
+                self.prepare_write(id, State::Leased(site), "").map(|w| Write { there: Some(site), ..w }),
+            );
         }
         writes
     }
 
-    /// What came of the last writes: the revision that they have, where they were carried out. Where they were not, what is
-    /// so is told by the next look at the store.
+    /// Completes the last writes: `revision` is set if they were carried out. If not, the next poll of the store
+    /// shows the current lines.
     pub fn done(&mut self, now: Time, writes: &[Write], revision: Option<u64>) {
-        self.busy = false;
+        self.write_pending = false;
         let Some(revision) = revision else { return };
         for write in writes {
             if write.delete {
@@ -500,28 +517,28 @@
         }
     }
 
-    /// When there is something to do without news.
+    /// Returns when to decide again if nothing changes at the store before.
     pub fn next_at(&self, now: Time) -> Time {
-        /// Waits and rooms are looked at again this often: far finer than any of them.
-        const AGAIN: Time = 2_000;
-        if self.busy || (self.oldest.is_empty() && self.orphans.is_empty()) {
+        /// The interval at which waits and capacities are checked, far finer than any of them.
+        const RECHECK_INTERVAL: Time = 2_000;
+        if self.write_pending || (self.oldest.is_empty() && self.orphans.is_empty()) {
             Time::MAX
         } else {
-            now + AGAIN
+            now + RECHECK_INTERVAL
         }
     }
 }
 
-/// Whether a job is wanted and nobody holds it.
-fn waits(entry: &Entry) -> bool {
+/// Returns true if a job is wanted and no site holds it.
+fn is_waiting(entry: &Entry) -> bool {
     entry.job.as_ref().is_some_and(|job| !job.cancel)
         && entry.line.as_ref().is_none_or(|(line, _)| line.state == State::Waiting)
 }
 
-/// What is to be done with a job that is not wanted as it is.
+/// What to do with a job that is not wanted as it is.
 enum Unwanted<'a> {
     Cancel,
-    /// It can't be run, with the reason.
+    /// It can't be run, for this reason.
     Park(&'a str),
     Delete,
 }
@@ -529,13 +546,13 @@
 fn unwanted(entry: &Entry) -> Option<Unwanted<'_>> {
     let state = entry.line.as_ref().map(|(line, _)| line.state);
     let open = matches!(state, None | Some(State::Waiting | State::Leased(_)));
-    match (&entry.job, &entry.bad) {
+    match (&entry.job, &entry.unreadable) {
         (_, Some(why)) if open => Some(Unwanted::Park(why)),
         (Some(job), _) if job.cancel && open => Some(Unwanted::Cancel),
         (None, None) => match state {
-            // A line that is read before its job is no reason: jobs that there are not are told of by `all_jobs`.
-            Some(State::Waiting | State::Leased(_)) if entry.swept => Some(Unwanted::Cancel),
-            Some(State::Done | State::Parked | State::Cancelled) if entry.swept => Some(Unwanted::Delete),
+            // A line read before its job proves nothing: only `all_jobs` shows that a job is gone.
+            Some(State::Waiting | State::Leased(_)) if entry.missing => Some(Unwanted::Cancel),
+            Some(State::Done | State::Parked | State::Cancelled) if entry.missing => Some(Unwanted::Delete),
             _ => None,
         },
         _ => None,
