--- a/crates/debt/src/facts.rs
+++ b/crates/debt/src/facts.rs
@@ -67,7 +67,7 @@
     /// Merges all facts and folded leases of another set.
     pub fn merge(&mut self, other: &Facts) {
         for key in &other.folded {
-            self.fold(key);
+            self.mark_folded(key);
         }
         for (key, fact) in &other.facts {
             self.take(key.clone(), fact.clone());
@@ -75,7 +75,7 @@
     }
 
     /// Removes a lease that was folded into the totals; later facts about it are ignored.
-    pub fn fold(&mut self, key: &Key) -> Option<Fact> {
+    pub fn mark_folded(&mut self, key: &Key) -> Option<Fact> {
         self.folded.insert(key.clone());
         if self.folded.len() > self.max_leases {
             // The oldest tokens go: their sources stopped reporting them when they were told that all was counted.
--- a/crates/debt/src/tracker.rs
+++ b/crates/debt/src/tracker.rs
@@ -77,7 +77,7 @@
     row: Option<(u64, EpochRow)>,
     leader: Option<LeaderState>,
     /// Published entries that were older than the one known already.
-    pub backward: u64,
+    pub stale_epochs: u64,
     /// How often the totals did not match the digest published with them.
     pub differs: u64,
 }
@@ -104,7 +104,7 @@
     const MAX_FOLDED_USES: usize = 20_000;
 
     pub fn new(shares: Shares) -> Books {
-        Books { published: Ledger::new(shares), row: None, leader: None, backward: 0, differs: 0 }
+        Books { published: Ledger::new(shares), row: None, leader: None, stale_epochs: 0, differs: 0 }
     }
 
     /// The epoch of the ranking in use; 0 if there is none yet.
@@ -132,7 +132,7 @@
     pub fn published(&mut self, revision: u64, row: EpochRow, sums: Sums) -> bool {
         if let Some((known, old)) = &self.row {
             if *known >= revision || old.epoch > row.epoch {
-                self.backward += u64::from(*known > revision || old.epoch > row.epoch);
+                self.stale_epochs += u64::from(*known > revision || old.epoch > row.epoch);
                 return false;
             }
         }
@@ -412,7 +412,7 @@
             assert_eq!(other.ledger().digest(), leader.ledger().digest());
             assert_eq!(other.ledger().rank(), leader.ledger().rank());
         }
-        assert_eq!((store.epoch.1.leases, other.backward), (800, 19));
+        assert_eq!((store.epoch.1.leases, other.stale_epochs), (800, 19));
     }
 
     #[test]
--- a/crates/debt/tests/debt.rs
+++ b/crates/debt/tests/debt.rs
@@ -79,7 +79,7 @@
     assert_eq!(facts.take(lease(7), fact(1, 40, false)), Some(false), "an older fact");
     assert_eq!(facts.take(lease(7), fact(1, 60, true)), Some(true));
     assert_eq!(facts.ended().count(), 1);
-    assert_eq!(facts.fold(&lease(7)), Some(fact(1, 60, true)));
+    assert_eq!(facts.mark_folded(&lease(7)), Some(fact(1, 60, true)));
     assert_eq!(facts.take(lease(7), fact(1, 60, true)), Some(false));
     assert_eq!((facts.len(), facts.is_folded(&lease(7))), (0, true));
 }
--- a/crates/jobs/src/agent_sessions.rs
+++ b/crates/jobs/src/agent_sessions.rs
@@ -51,7 +51,7 @@
 
 /// Metrics of the sessions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct Metrics {
     pub agents: usize,
     /// Outcomes that wait for the store, and those turned away since too many did.
     pub settling: usize,
@@ -85,7 +85,7 @@
     /// The revision of the store up to which lines are known.
     known_revision: u64,
     actions: VecDeque<Act>,
-    figures: Figures,
+    figures: Metrics,
 }
 
 impl Desk {
@@ -105,8 +105,8 @@
     }
 
     /// Returns the current metrics.
-    pub fn figures(&self) -> Figures {
-        Figures { agents: self.agents.len(), settling: self.settling.len(), ..self.figures }
+    pub fn figures(&self) -> Metrics {
+        Metrics { agents: self.agents.len(), settling: self.settling.len(), ..self.figures }
     }
 
     /// Returns the number of sites whose agents sent something lately.
--- a/crates/jobs/src/job_agent.rs
+++ b/crates/jobs/src/job_agent.rs
@@ -9,7 +9,7 @@
 
 /// A job that the agent holds a lease of.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct HeldJob {
     pub token: Token,
     pub spec: String,
 }
@@ -34,7 +34,7 @@
     life: Life,
     membership: Membership,
     capacity: usize,
-    held: BTreeMap<String, Held>,
+    held: BTreeMap<String, HeldJob>,
     /// Outcomes that were not accepted yet, by job and token.
     outcomes: BTreeMap<(String, Token), Ended>,
     /// The highest token begun of each job. Tokens only grow, so that an order with this token or a lower one is old.
@@ -104,7 +104,7 @@
     }
 
     /// Ends the incarnation and begins `next`. Returns the jobs that were held, all of which must stop.
-    pub fn over(&mut self, next: Life, lease: Time, margin: Time) -> Vec<(String, Held)> {
+    pub fn over(&mut self, next: Life, lease: Time, margin: Time) -> Vec<(String, HeldJob)> {
         self.life = next;
         self.membership = Membership::new(lease, margin);
         std::mem::take(&mut self.held).into_iter().collect()
@@ -133,7 +133,7 @@
             oldest.and_then(|job| self.highest_begun.remove(&job));
         }
         self.highest_begun.insert(job.to_owned(), token);
-        self.held.insert(job.to_owned(), Held { token, spec: spec.to_owned() });
+        self.held.insert(job.to_owned(), HeldJob { token, spec: spec.to_owned() });
         Told::Begin { record }
     }
 
@@ -147,7 +147,7 @@
     }
 
     /// The jobs that the agent holds.
-    pub fn held(&self) -> impl Iterator<Item = (&str, &Held)> {
+    pub fn held(&self) -> impl Iterator<Item = (&str, &HeldJob)> {
         self.held.iter().map(|(job, held)| (job.as_str(), held))
     }
 
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -15,11 +15,11 @@
 mod job_record;
 mod scheduler;
 
-pub use agent_sessions::{Act, Desk, Figures as DeskFigures, Hello};
-pub use job_agent::{Held, Holder, Told};
+pub use agent_sessions::{Act, Desk, Hello, Metrics as DeskFigures};
+pub use job_agent::{HeldJob, Holder, Told};
 pub use job_record::{decide_outcome, Ended, Job, Line, State, Verdict};
 pub use ravenspar_sharing::{Life, Time};
-pub use scheduler::{Figures, Giver, Limits, Site, Write};
+pub use scheduler::{Giver, Limits, Metrics, Site, Write};
 
 /// The revision of the write by which a job was leased to a site.
 pub type Token = u64;
--- a/crates/jobs/src/scheduler.rs
+++ b/crates/jobs/src/scheduler.rs
@@ -51,7 +51,7 @@
 
 /// Metrics of the scheduler.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Figures {
+pub struct Metrics {
     /// The number of jobs known, and how many of them are waiting, held and parked.
     pub jobs: usize,
     pub waiting: usize,
@@ -121,7 +121,7 @@
     lost_sites: BTreeMap<String, Time>,
     held_back_until: Time,
     write_pending: bool,
-    figures: Figures,
+    figures: Metrics,
 }
 
 impl Giver {
@@ -147,14 +147,14 @@
             lost_sites: BTreeMap::new(),
             held_back_until: Time::MIN,
             write_pending: false,
-            figures: Figures::default(),
+            figures: Metrics::default(),
         }
     }
 
     /// Returns the current metrics.
-    pub fn figures(&self) -> Figures {
+    pub fn figures(&self) -> Metrics {
         let parked = |entry: &&Entry| matches!(&entry.line, Some((line, _)) if line.state == State::Parked);
-        Figures {
+        Metrics {
             jobs: self.entries.len(),
             waiting: self.oldest.len(),
             held: self.held_by_user.values().sum(),
@@ -431,8 +431,8 @@
             return capacity.saturating_sub(known.held);
         }
         // Jobs that it finishes while it is cold warm it up, but what it is given until then is bounded as well.
-        let cold = capacity.div_ceil(4);
-        cold.saturating_sub(known.held).min(capacity.saturating_sub(known.given_cold))
+        let cold_capacity = capacity.div_ceil(4);
+        cold_capacity.saturating_sub(known.held).min(capacity.saturating_sub(known.given_cold))
     }
 
     fn assign(&mut self, now: Time) -> Vec<Write> {
