--- a/crates/debt/src/tracker.rs
+++ b/crates/debt/src/tracker.rs
@@ -87,10 +87,10 @@
 struct LeaderState {
     term: u64,
     ledger: Ledger,
-    open: BTreeMap<Key, (u64, UseRow)>,
+    open_uses: BTreeMap<Key, (u64, UseRow)>,
     folded: BTreeMap<Key, u64>,
     ended_uses: BTreeSet<Key>,
-    busy: bool,
+    fold_pending: bool,
     /// An entry was not as expected: all uses must be read again.
     stale: bool,
 }
@@ -149,10 +149,10 @@
         self.leader = Some(LeaderState {
             term,
             ledger: self.published.clone(),
-            open: BTreeMap::new(),
+            open_uses: BTreeMap::new(),
             folded: BTreeMap::new(),
             ended_uses: BTreeSet::new(),
-            busy: false,
+            fold_pending: false,
             stale: true,
         });
     }
@@ -167,25 +167,25 @@
         self.leader.as_ref().is_some_and(|leader| leader.stale)
     }
 
-    /// Starts over with all uses, which were read at one revision together with the newest published entry. That
-    /// entry is applied already.
+    /// Forgets the leader's uses before all of them are passed to [`Books::used`] again, as read at one revision
+    /// together with the newest published entry. That entry is applied already.
     pub fn all_uses(&mut self) {
         let ledger = self.published.clone();
         if let Some(leader) = &mut self.leader {
             (leader.stale, leader.ledger) = (false, ledger);
-            (leader.open, leader.folded, leader.ended_uses) = Default::default();
+            (leader.open_uses, leader.folded, leader.ended_uses) = Default::default();
         }
     }
 
     /// Takes a use as the store has it at a revision.
     pub fn used(&mut self, key: Key, row: UseRow, revision: u64) {
         let Some(leader) = &mut self.leader else { return };
-        if leader.open.get(&key).is_some_and(|(known, _)| *known >= revision)
+        if leader.open_uses.get(&key).is_some_and(|(known, _)| *known >= revision)
             || leader.folded.get(&key).is_some_and(|known| *known >= revision)
         {
             return;
         }
-        leader.open.remove(&key);
+        leader.open_uses.remove(&key);
         leader.ended_uses.remove(&key);
         if row.folded {
             leader.folded.insert(key, revision);
@@ -194,20 +194,20 @@
         if row.fact.last {
             leader.ended_uses.insert(key.clone());
         }
-        leader.open.insert(key, (revision, row));
+        leader.open_uses.insert(key, (revision, row));
     }
 
     /// Returns the next transaction, which folds a bounded number of ended leases. With `epoch`, it also advances the
     /// epoch if no ended lease is left over.
     pub fn next(&mut self, epoch: bool) -> Option<Fold> {
         let (seen, row) = self.row.clone().unwrap_or_default();
-        let leader = self.leader.as_mut().filter(|leader| !leader.busy && !leader.stale)?;
+        let leader = self.leader.as_mut().filter(|leader| !leader.fold_pending && !leader.stale)?;
         if leader.ended_uses.is_empty() && !epoch {
             return None;
         }
         let (mut uses, mut users, mut groups) = (Vec::new(), BTreeSet::new(), BTreeSet::new());
         for key in leader.ended_uses.iter().take(Self::USES_PER_FOLD) {
-            let Some((revision, UseRow { fact, .. })) = leader.open.get(key) else { continue };
+            let Some((revision, UseRow { fact, .. })) = leader.open_uses.get(key) else { continue };
             leader.ledger.add(&fact.user, &fact.group, fact.used);
             users.insert(fact.user.clone());
             groups.insert(fact.group.clone());
@@ -256,7 +256,7 @@
             digest: hex(&ledger.digest()),
             floor,
         };
-        leader.busy = true;
+        leader.fold_pending = true;
         Some(Fold { uses, gone, sums, seen, epoch })
     }
 
@@ -264,13 +264,13 @@
     /// grown, and all uses must be read again.
     pub fn done(&mut self, fold: Fold, revision: Option<u64>) {
         let Some(leader) = &mut self.leader else { return };
-        leader.busy = false;
+        leader.fold_pending = false;
         let Some(revision) = revision else {
             leader.stale = true;
             return;
         };
         for (key, ..) in &fold.uses {
-            leader.open.remove(key);
+            leader.open_uses.remove(key);
             leader.ended_uses.remove(key);
             leader.folded.insert(key.clone(), revision);
         }
@@ -280,7 +280,7 @@
 
     /// The number of uses that wait to be folded, and of folded ones that are kept.
     pub fn open(&self) -> (usize, usize) {
-        self.leader.as_ref().map_or((0, 0), |leader| (leader.open.len(), leader.folded.len()))
+        self.leader.as_ref().map_or((0, 0), |leader| (leader.open_uses.len(), leader.folded.len()))
     }
 }
 
--- a/crates/duty/src/lib.rs
+++ b/crates/duty/src/lib.rs
@@ -1,10 +1,10 @@
 //! Leader election for duties: work that is done once for the whole fleet, by one steward at a time. Pure: no I/O and
 //! no clock; the caller passes in the times.
 //!
-//! [`Duties`] reads members and claims from snapshots of the store and decides which claim to write or hand over
-//! next. [`Tenure`] is a steward's own claim of a duty. Every effect needs a [`Warrant`] made from it, which can't
-//! outlive the membership. [`Taker`] is the receiving end: it keeps the highest term of each duty and refuses effects
-//! under lower ones. `docs/design/duties.md` has the reasoning.
+//! [`Duties`] reads members and claims from snapshots of the store and decides which claim to write or hand
+//! over next. [`Tenure`] is a steward's own claim of a duty. Every effect needs a [`Warrant`] made from it,
+//! which can't outlive the membership. [`Taker`] is the receiving end: it keeps the highest term of each
+//! duty and refuses effects under lower ones. `docs/design/duties.md` has the reasoning.
 
 mod duties;
 mod effect_receiver;
--- a/crates/jobs/src/scheduler.rs
+++ b/crates/jobs/src/scheduler.rs
@@ -177,20 +177,21 @@
         Some(self.debts.get(user)?.saturating_add(held.saturating_mul(self.mean)))
     }
 
-    fn update_order(&mut self, user: &str, into: bool) {
+    /// Adds a user to the order by debt, or takes it out.
+    fn update_order(&mut self, user: &str, insert: bool) {
         if let Some(owes) = self.owes(user) {
             let debt_and_user = (owes, user.to_owned());
             let _ =
-                if into { self.by_debt.insert(debt_and_user) } else { self.by_debt.remove(&debt_and_user) };
+                if insert { self.by_debt.insert(debt_and_user) } else { self.by_debt.remove(&debt_and_user) };
         }
     }
 
     /// Takes all sites whose keys are at the store.
     pub fn sites(&mut self, now: Time, sites: Vec<Site>) {
-        let there: BTreeSet<Life> = sites.iter().map(|site| site.life).collect();
+        let present: BTreeSet<Life> = sites.iter().map(|site| site.life).collect();
         let mut names: BTreeSet<String> = self.sites.values().map(|known| known.site.name.clone()).collect();
         names.extend(sites.iter().map(|site| site.name.clone()));
-        let gone: Vec<Life> = self.sites.keys().filter(|life| !there.contains(life)).copied().collect();
+        let gone: Vec<Life> = self.sites.keys().filter(|life| !present.contains(life)).copied().collect();
         for life in gone {
             // A site that is back under another incarnation at once is not lost.
             if let Some(known) = self.sites.remove(&life) {
@@ -238,9 +239,9 @@
     }
 
     /// Takes the ids of all jobs that exist. A deleted job is cancelled if it is not over, and forgotten if it is.
-    pub fn all_jobs(&mut self, now: Time, there: &BTreeSet<&str>) {
+    pub fn all_jobs(&mut self, now: Time, present: &BTreeSet<&str>) {
         let gone: Vec<String> =
-            self.entries.keys().filter(|id| !there.contains(id.as_str())).cloned().collect();
+            self.entries.keys().filter(|id| !present.contains(id.as_str())).cloned().collect();
         for id in gone {
             self.change(now, &id, |entry| (entry.job, entry.unreadable, entry.missing) = (None, None, true));
         }
@@ -272,6 +273,7 @@
         self.entries.remove(id);
     }
 
+    /// Adds an entry for a new job. Returns false if there are too many jobs already.
     fn ensure_entry(&mut self, now: Time, id: &str) -> bool {
         if self.entries.contains_key(id) {
             return true;
@@ -306,12 +308,12 @@
     }
 
     /// Puts a job into the indexes that it belongs to, or takes it out of them. Returns true if it waits.
-    fn update_indexes(&mut self, id: &str, entry: &Entry, into: bool) -> bool {
+    fn update_indexes(&mut self, id: &str, entry: &Entry, insert: bool) -> bool {
         let user = entry.job.as_ref().map_or("", |job| job.user.as_str());
         let (queue_key, age) = ((entry.created, id.to_owned()), (entry.since, entry.created, id.to_owned()));
         let waiting = is_waiting(entry);
         self.update_order(user, false);
-        if waiting && into {
+        if waiting && insert {
             if !self.waiting.contains_key(user) {
                 self.unranked.insert(user.to_owned());
             }
@@ -330,23 +332,23 @@
         }
         if let Some(site) = entry.line.as_ref().and_then(|(line, _)| line.site()) {
             let count = self.held_by_user.entry(user.to_owned()).or_default();
-            *count = if into { *count + 1 } else { count.saturating_sub(1) };
+            *count = if insert { *count + 1 } else { count.saturating_sub(1) };
             if *count == 0 {
                 self.held_by_user.remove(user);
             }
             match self.sites.get_mut(&site) {
-                Some(known) if into => known.held += 1,
+                Some(known) if insert => known.held += 1,
                 Some(known) => known.held = known.held.saturating_sub(1),
                 None => {}
             }
-            if into && !self.sites.contains_key(&site) {
+            if insert && !self.sites.contains_key(&site) {
                 self.orphans.insert(id.to_owned());
             } else {
                 self.orphans.remove(id);
             }
         }
         self.update_order(user, true);
-        if into && unwanted(entry).is_some() {
+        if insert && unwanted(entry).is_some() {
             self.unwanted.insert(id.to_owned());
         } else {
             self.unwanted.remove(id);
@@ -376,6 +378,7 @@
         writes
     }
 
+    /// Returns the write that brings a job into a state.
     fn prepare_write(&self, id: &str, state: State, why: &str) -> Option<Write> {
         let entry = self.entries.get(id)?;
         let (line, seen) = match &entry.line {
@@ -388,6 +391,7 @@
         Some(Write { job: id.to_owned(), seen, line, there: None, gone: None, delete: false })
     }
 
+    /// Cancels, parks or deletes jobs that are not wanted as they are.
     fn close_unwanted(&self) -> Vec<Write> {
         let writes = self.unwanted.iter().take(self.limits.writes).filter_map(|id| {
             let entry = self.entries.get(id)?;
@@ -435,6 +439,8 @@
         cold_capacity.saturating_sub(known.held).min(capacity.saturating_sub(known.given_cold))
     }
 
+    /// Leases waiting jobs to sites with free capacity: first those that have waited too long, then those of the
+    /// users who owe least.
     fn assign(&mut self, now: Time) -> Vec<Write> {
         let mut capacities: Vec<(usize, Life)> =
             self.sites.values().map(|known| (self.free_capacity(now, known), known.site.life)).collect();
--- a/crates/jobs/tests/explore.rs
+++ b/crates/jobs/tests/explore.rs
@@ -2,8 +2,8 @@
 //! order of events do two leaders act, is a job leased again while its holder may still work, or does a step land
 //! twice.
 //!
-//! The decisions are the program's own ([`Duties`], [`Giver`], [`decide_outcome`], [`Taker`]); all else is a model.
-//! Any event that can happen may come next. Time is left out, except for what leases promise
+//! The decisions are the program's own ([`Duties`], [`Giver`], [`decide_outcome`], [`Taker`]); all else is a
+//! model. Any event that can happen may come next. Time is left out, except for what leases promise
 //! (`docs/design/duties.md`): a membership is over at its steward before it is over at the store, and a site's
 //! incarnation at its agent before it is over at the store.
 
