--- a/crates/duty/tests/owners.rs
+++ b/crates/duty/tests/owners.rs
@@ -180,11 +180,14 @@
             }
             for duty in 0..2 {
                 let claimants = fleet.stewards.iter().filter(|(life, ..)| fleet.is_member(*life));
-                let claimants: Vec<_> = claimants.filter_map(|(life, duties_state, _)| Some((*life, duties_state.term(duty)?))).collect();
+                let claimants: Vec<_> =
+                    claimants.filter_map(|(life, duties, _)| Some((*life, duties.term(duty)?))).collect();
                 // A member that has not read the store since may think that it still leads; only the actual leader
                 // has the store's term.
                 let store_claim = fleet.claims[duty];
-                let confirmed = claimants.iter().filter(|(life, term)| store_claim == Some(Claim { owner: *life, term: *term }));
+                let confirmed = claimants
+                    .iter()
+                    .filter(|(life, term)| store_claim == Some(Claim { owner: *life, term: *term }));
                 prop_assert!(confirmed.count() <= 1);
                 for (_, term) in &claimants {
                     prop_assert!(store_claim.is_none_or(|claim| *term <= claim.term));
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -6,9 +6,9 @@
 //! its own at the store, which any steward renews on its behalf; a job is leased again only in a transaction that
 //! finds the site's key gone.
 //!
-//! [`Line`] is a job's line; [`Giver`] decides for the leader of the duty; [`Desk`] is a steward's end of
-//! the agents' sessions; [`decide_outcome`] decides on an outcome at any steward; [`Holder`] is the agent's
-//! side. `docs/design/jobs.md` has the reasoning.
+//! [`Line`] is a job's line; [`Giver`] decides for the leader of the duty; [`Desk`] is a steward's
+//! end of the agents' sessions; [`decide_outcome`] decides on an outcome at any steward; [`Holder`]
+//! is the agent's side. `docs/design/jobs.md` has the reasoning.
 
 mod agent_sessions;
 mod job_agent;
--- a/crates/jobs/tests/explore.rs
+++ b/crates/jobs/tests/explore.rs
@@ -2,10 +2,10 @@
 //! order of events do two leaders act, is a job leased again while its holder may still work, or does a step land
 //! twice.
 //!
-//! The decisions are the program's own ([`Duties`], [`Giver`], [`decide_outcome`], [`Taker`]); all else is a
-//! model. Any event that can happen may come next. Time is left out, except for what leases promise
-//! (`docs/design/duties.md`): a membership is over at its steward before it is over at the store, and a site's
-//! incarnation at its agent before it is over at the store.
+//! The decisions are the program's own ([`Duties`], [`Giver`], [`decide_outcome`], [`Taker`]); all else
+//! is a model. Any event that can happen may come next. Time is left out, except for what leases
+//! promise (`docs/design/duties.md`): a membership is over at its steward before it is over at the
+//! store, and a site's incarnation at its agent before it is over at the store.
 
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, BTreeSet, HashSet};
