--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -1,30 +1,31 @@
-//! Copies of what the stewards share, kept by the stewards themselves: a replicated log of orders, and the keys that it
-//! yields. Pure: no I/O, no clock, seeded chance; times are whole tenths of a millisecond, handed in.
+//! A replicated key-value store that the stewards run themselves: a Raft log of commands and the state machine that applies
+//! them. Sans-I/O: no I/O, no clock and a seeded random generator; the caller passes the current time in.
 //!
-//! [`Copy`] is one copy's part of the log: who leads, what is committed, who has a vote. [`State`] is what the orders of the
-//! log come to: keys with revisions, bound to leases. [`Keeper`] is both together, with the requests that wait for them.
+//! [`Replica`] is one replica of the log: election, replication, commit and membership. [`State`] is the state machine: keys
+//! with revisions, bound to leases. [`Node`] joins the two and tracks the requests that wait for an answer.
 //! `docs/design/replication.md` has the reasoning.
 
-mod copy;
-mod keeper;
 mod log;
 mod members;
+mod node;
+mod replica;
 pub mod state;
 
-pub use copy::{Act, Copy, Hard, Message, Output, Settings, Switches};
-pub use keeper::{Answer, Effect, Keeper, Request, Token};
 pub use log::{Body, Entry, Hash, Log};
 pub use members::{Member, Members};
+pub use node::{Answer, Effect, Node, Request, Token};
+pub use replica::{Action, FeatureToggles, HardState, Message, Output, Replica, Settings};
 pub use state::State;
 
-/// In whole tenths of a millisecond.
+/// A point in time or a duration, in units of 0.1 ms.
 pub type Time = i64;
 
-/// One copy: drawn when its files are made, so that an empty disk under an old name is another copy.
+/// Identifies a replica. Drawn at random when its files are created, so that a member that lost its disk comes back as a
+/// new replica.
 pub type Id = u64;
 
-/// A leader's time; at most one copy leads in each.
+/// A Raft term; it has at most one leader.
 pub type Term = u64;
 
-/// A place in the log; the first is 1.
+/// The position of an entry in the log; the first is 1.
 pub type Index = u64;
--- a/crates/replica/src/log.rs
+++ b/crates/replica/src/log.rs
@@ -1,4 +1,4 @@
-//! The log of one copy: entries, each with a hash over the one before.
+//! The log of one replica: a hash chain of entries.
 
 use std::collections::VecDeque;
 
@@ -7,19 +7,21 @@
 
 use crate::{Index, Members, Term};
 
-/// What an entry and all before it come to; two logs with the same at an index are the same up to there.
+/// A hash over an entry and all before it: two logs with the same hash at an index are identical up to it.
 pub type Hash = [u8; 16];
 
+/// The content of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Body {
-    /// A leader's first, by which what was left by those before it is committed.
-    Nothing,
-    /// An order to the state.
+    /// A new leader's first entry; committing it commits the entries of earlier terms before it.
+    Noop,
+    /// An encoded command for the state machine.
     Order(Vec<u8>),
-    /// Who is in from here on.
+    /// The membership from this entry on.
     Members(Members),
 }
 
+/// A log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
     pub term: Term,
@@ -28,37 +30,38 @@
 }
 
 impl Entry {
-    /// The one behind an entry with this hash.
-    pub fn behind(before: &Hash, term: Term, body: Body) -> Entry {
+    /// Builds the entry that follows the entry with the hash `before`.
+    pub fn after(before: &Hash, term: Term, body: Body) -> Entry {
         let hash = Entry::hash(before, term, &body);
         Entry { term, body, hash }
     }
 
-    /// Whether it is the one behind an entry with this hash, whole.
+    /// Returns true if this entry is intact and directly follows the entry with the hash `before`.
     pub fn follows(&self, before: &Hash) -> bool {
         self.hash == Entry::hash(before, self.term, &self.body)
     }
 
     fn hash(before: &Hash, term: Term, body: &Body) -> Hash {
-        let mut sum = Sha256::new();
-        sum.update(before);
-        sum.update(term.to_be_bytes());
-        // Of fields alone, none of which can fail to be written.
-        sum.update(postcard::to_allocvec(body).unwrap_or_default());
+        let mut hasher = Sha256::new();
+        hasher.update(before);
+        hasher.update(term.to_be_bytes());
+        // A body of plain data always serializes.
+        hasher.update(postcard::to_allocvec(body).unwrap_or_default());
         let mut hash = Hash::default();
-        hash.copy_from_slice(&sum.finalize()[..16]);
+        hash.copy_from_slice(&hasher.finalize()[..16]);
         hash
     }
 }
 
-/// The entries from 1 on.
+/// The entries of a log, from index 1 on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Log {
     entries: VecDeque<Entry>,
 }
 
 impl Log {
-    pub fn last(&self) -> Index {
+    /// The index of the last entry; 0 if the log is empty.
+    pub fn last_index(&self) -> Index {
         self.entries.len() as Index
     }
 
@@ -66,7 +69,7 @@
         self.entries.get(usize::try_from(index.checked_sub(1)?).ok()?)
     }
 
-    /// The term of an entry; 0 before the first.
+    /// The term of the entry at `index`; 0 for index 0, before the first.
     pub fn term(&self, index: Index) -> Option<Term> {
         if index == 0 {
             return Some(0);
@@ -74,6 +77,7 @@
         self.get(index).map(|entry| entry.term)
     }
 
+    /// The hash of the entry at `index`; all zeros for index 0, before the first.
     pub fn hash(&self, index: Index) -> Option<Hash> {
         if index == 0 {
             return Some(Hash::default());
@@ -81,18 +85,19 @@
         self.get(index).map(|entry| entry.hash)
     }
 
-    /// Adds one behind the last; it has to follow it.
+    /// Appends an entry, which must follow the last one.
     pub fn push(&mut self, entry: Entry) {
-        debug_assert!(self.hash(self.last()).is_some_and(|before| entry.follows(&before)));
+        debug_assert!(self.hash(self.last_index()).is_some_and(|before| entry.follows(&before)));
         self.entries.push_back(entry);
     }
 
-    /// Drops all from an index on.
-    pub fn cut(&mut self, from: Index) {
+    /// Removes the entries from `from` on.
+    pub fn truncate(&mut self, from: Index) {
         self.entries.truncate(from.saturating_sub(1) as usize);
     }
 
-    pub fn from(&self, index: Index) -> impl Iterator<Item = &Entry> {
+    /// Iterates over the entries from `index` on.
+    pub fn iter_from(&self, index: Index) -> impl Iterator<Item = &Entry> {
         self.entries.iter().skip(index.saturating_sub(1) as usize)
     }
 }
--- a/crates/replica/src/members.rs
+++ b/crates/replica/src/members.rs
@@ -1,4 +1,4 @@
-//! Who has a copy, and whose copy has a vote.
+//! The membership: the replicas and which of them are voters.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,73 +6,77 @@
 
 use crate::Id;
 
+/// One replica of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Member {
-    /// The steward's.
+    /// The steward's name.
     pub name: String,
-    /// Where other copies reach it.
+    /// The address at which the other replicas reach it.
     pub address: String,
-    pub vote: bool,
+    pub voter: bool,
 }
 
+/// The replicas of a fleet.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Members {
-    pub copies: BTreeMap<Id, Member>,
-    /// Those that were taken out: they never come back, as what they promised is forgotten.
-    pub gone: BTreeSet<Id>,
+    pub replicas: BTreeMap<Id, Member>,
+    /// Removed replicas. They may never rejoin, since what they promised (votes, acknowledgements) is lost.
+    pub removed: BTreeSet<Id>,
 }
 
 impl Members {
-    /// Of a fleet that is formed by one.
+    /// The membership of a new fleet with a single voter.
     pub fn first(id: Id, member: Member) -> Members {
-        Members { copies: [(id, Member { vote: true, ..member })].into(), gone: BTreeSet::new() }
+        Members { replicas: [(id, Member { voter: true, ..member })].into(), removed: BTreeSet::new() }
     }
 
+    /// The ids of the replicas with a vote.
     pub fn voters(&self) -> impl Iterator<Item = Id> + '_ {
-        self.copies.iter().filter(|(_, member)| member.vote).map(|(id, _)| *id)
+        self.replicas.iter().filter(|(_, member)| member.voter).map(|(id, _)| *id)
     }
 
-    pub fn votes(&self, id: Id) -> bool {
-        self.copies.get(&id).is_some_and(|member| member.vote)
+    pub fn is_voter(&self, id: Id) -> bool {
+        self.replicas.get(&id).is_some_and(|member| member.voter)
     }
 
-    /// Whether those of whom this holds are more than half of the votes.
-    pub fn agree(&self, of: impl Fn(Id) -> bool) -> bool {
+    /// Returns true if `predicate` holds for more than half of the voters.
+    pub fn has_majority(&self, predicate: impl Fn(Id) -> bool) -> bool {
         let all = self.voters().count();
-        2 * self.voters().filter(|id| of(*id)).count() > all
+        2 * self.voters().filter(|id| predicate(*id)).count() > all
     }
 
-    /// With a copy that comes to catch up, without a vote. Another copy under its name is taken out: its files are gone, or
-    /// it is a second process under one name, and either way one of the two has to go. None if nothing is to be changed.
-    pub fn with(&self, id: Id, member: &Member) -> Option<Members> {
-        let known = self.copies.get(&id);
-        let same = |known: &Member| {
+    /// Adds a replica as a non-voter that has to catch up, or updates its name and address. Removes any other replica of the
+    /// same name: either that one's files are gone, or two processes run under one name, and one of them has to go. Returns
+    /// `None` if nothing changes.
+    pub fn with_replica(&self, id: Id, member: &Member) -> Option<Members> {
+        let known = self.replicas.get(&id);
+        let is_unchanged = |known: &Member| {
             (known.name.as_str(), known.address.as_str()) == (&*member.name, &*member.address)
         };
-        if self.gone.contains(&id) || known.is_some_and(same) {
+        if self.removed.contains(&id) || known.is_some_and(is_unchanged) {
             return None;
         }
-        let vote = known.is_some_and(|known| known.vote);
-        let mut with = self.clone();
+        let voter = known.is_some_and(|known| known.voter);
+        let mut changed = self.clone();
         let namesakes: Vec<Id> = self
-            .copies
+            .replicas
             .iter()
-            .filter(|(of, m)| **of != id && m.name == member.name)
-            .map(|(of, _)| *of)
+            .filter(|(other, m)| **other != id && m.name == member.name)
+            .map(|(other, _)| *other)
             .collect();
-        // One vote at a time, so that the majorities before and after have a copy in common; a name has one copy at most.
-        for of in namesakes {
-            with.copies.remove(&of);
-            with.gone.insert(of);
+        // A name has one replica at most, so this removes at most one voter, and the majorities before and after overlap.
+        for other in namesakes {
+            changed.replicas.remove(&other);
+            changed.removed.insert(other);
         }
-        with.copies.insert(id, Member { vote, ..member.clone() });
-        Some(with)
+        changed.replicas.insert(id, Member { voter, ..member.clone() });
+        Some(changed)
     }
 
-    /// With a vote for one that has caught up.
+    /// Makes a replica that has caught up a voter.
     pub fn with_vote(&self, id: Id) -> Members {
-        let mut with = self.clone();
-        with.copies.get_mut(&id).into_iter().for_each(|member| member.vote = true);
-        with
+        let mut changed = self.clone();
+        changed.replicas.get_mut(&id).into_iter().for_each(|member| member.voter = true);
+        changed
     }
 }
--- a/crates/replica/src/state.rs
+++ b/crates/replica/src/state.rs
@@ -1,11 +1,11 @@
-//! What the orders of the log come to: keys with revisions, bound to leases. The same orders give the same state at every
-//! copy: no clock, no chance, nothing in hash order.
+//! The state machine: keys with revisions, bound to leases. Deterministic, so that the same commands give the same state on
+//! every replica: no clock, no random numbers, no iteration in hash order.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::{Deserialize, Serialize};
 
-/// A key's value and its writes, counted by revisions.
+/// A key with its value, the revisions at which it was created and last modified, and the number of its writes since.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Row {
     pub key: Vec<u8>,
@@ -13,10 +13,11 @@
     pub created: u64,
     pub modified: u64,
     pub version: u64,
-    /// 0: none.
+    /// The lease that the key is bound to; 0: none.
     pub lease: u64,
 }
 
+/// The operator of a comparison.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum How {
     Equal,
@@ -25,7 +26,7 @@
     NotEqual,
 }
 
-/// What a key is compared by; a key that is not there has zeros and no value.
+/// What a comparison looks at, and what with. A missing key has zeros and no value, so no comparison by value holds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum By {
     Version(u64),
@@ -35,6 +36,7 @@
     Value(Vec<u8>),
 }
 
+/// A condition of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Compare {
     pub key: Vec<u8>,
@@ -42,15 +44,17 @@
     pub by: By,
 }
 
-/// Keys from one on, up to an end that is not in it; an empty end: that key alone; an end of one zero byte: all from there.
+/// The keys from `key` up to, but not including, `end`. An empty end means `key` alone; an end of one zero byte means all
+/// keys from `key` on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Range {
     pub key: Vec<u8>,
     pub end: Vec<u8>,
-    /// Only what was modified at this revision or later.
+    /// Selects only keys that were modified at this revision or later.
     pub since: u64,
 }
 
+/// One operation of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Step {
     Read(Range),
@@ -58,9 +62,10 @@
     Delete(Range),
 }
 
+/// A command to the state machine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Order {
-    /// All or nothing: the steps of the first list where all comparisons hold, else those of the second.
+    /// A transaction: the steps of `then` if all comparisons hold, else those of `otherwise`. Atomic.
     Do {
         compare: Vec<Compare>,
         then: Vec<Step>,
@@ -76,56 +81,62 @@
     Revoke {
         lease: u64,
     },
-    /// The leader's word that a lease has run out since it was renewed so often.
+    /// Proposed by the leader when a lease expires; has no effect if the lease has been renewed since, so that `renewals` is
+    /// no longer its count.
     End {
         lease: u64,
         renewals: u64,
     },
 }
 
+/// The result of a [`Step`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Did {
     Read(Vec<Row>),
     Put,
+    /// The number of keys deleted.
     Deleted(u64),
 }
 
-/// What came of an order, and the revision that the state has with it.
+/// The outcome of a command, and the revision of the state after it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Outcome {
     pub revision: u64,
     pub result: Result<Done, Not>,
 }
 
+/// The result of a command that was carried out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Done {
-    Did {
-        held: bool,
-        steps: Vec<Did>,
-    },
-    /// A lease with this many seconds.
+    /// A transaction: whether all comparisons held, and the result of each step.
+    Did { held: bool, steps: Vec<Did> },
+    /// The lease's time to live in seconds; 0 if it was ended.
     Lease(u32),
 }
 
+/// Why a command was rejected; it had no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Not {
-    /// The lease is there already.
+    /// The lease exists already.
     Taken,
-    /// There is no such lease.
+    /// The lease does not exist, or was renewed before it could expire.
     NoLease,
-    /// A key stands twice in one order's writes.
+    /// One transaction puts the same key twice.
     Twice,
-    /// It can't be read.
+    /// The command can't be decoded.
     Unread,
 }
 
+/// A lease and the keys bound to it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
     pub seconds: u32,
+    /// How often it was renewed.
     pub renewals: u64,
     keys: BTreeSet<Vec<u8>>,
 }
 
+/// The state that the commands of the log produce.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
     pub revision: u64,
@@ -135,36 +146,36 @@
 
 impl Default for State {
     fn default() -> State {
-        // The first write has revision 2, as with etcd: 0 says of a key that it is not there.
+        // The first write has revision 2, as with etcd; 0 stands for a missing key.
         State { revision: 1, rows: BTreeMap::new(), leases: BTreeMap::new() }
     }
 }
 
 impl State {
-    /// Carries an order out, as written by [`Order::write`].
-    pub fn apply(&mut self, order: &[u8]) -> Outcome {
-        let result = match Order::read(order) {
-            Some(order) => self.carry_out(order),
+    /// Carries out a command, as encoded by [`Order::write`].
+    pub fn apply(&mut self, command: &[u8]) -> Outcome {
+        let result = match Order::read(command) {
+            Some(command) => self.execute(command),
             None => Err(Not::Unread),
         };
         Outcome { revision: self.revision, result }
     }
 
-    /// Reads at the revision that the state has.
+    /// Reads ranges at the current revision.
     pub fn read(&self, ranges: &[Range]) -> Outcome {
-        let steps = ranges.iter().map(|range| Did::Read(self.range(range))).collect();
+        let steps = ranges.iter().map(|range| Did::Read(self.read_range(range))).collect();
         Outcome { revision: self.revision, result: Ok(Done::Did { held: true, steps }) }
     }
 
-    fn carry_out(&mut self, order: Order) -> Result<Done, Not> {
-        match order {
+    fn execute(&mut self, command: Order) -> Result<Done, Not> {
+        match command {
             Order::Do { compare, then, otherwise } => {
-                let held = compare.iter().all(|compare| self.holds(compare));
+                let held = compare.iter().all(|compare| self.matches(compare));
                 let steps = if held { then } else { otherwise };
-                self.check(&steps)?;
+                self.validate(&steps)?;
                 let next = self.revision + 1;
                 let mut wrote = false;
-                let steps = steps.into_iter().map(|step| self.step(step, next, &mut wrote)).collect();
+                let steps = steps.into_iter().map(|step| self.execute_step(step, next, &mut wrote)).collect();
                 self.revision += u64::from(wrote);
                 Ok(Done::Did { held, steps })
             }
@@ -178,12 +189,12 @@
                 known.renewals += 1;
                 Ok(Done::Lease(known.seconds))
             }
-            Order::Revoke { lease } => self.end(lease),
+            Order::Revoke { lease } => self.end_lease(lease),
             Order::End { lease, renewals } => {
-                // Renewed meanwhile: the log's order decides.
-                let runs_out = self.leases.get(&lease).is_some_and(|known| known.renewals == renewals);
-                if runs_out {
-                    self.end(lease)
+                // If a renewal precedes the expiry in the log, the renewal wins.
+                let is_current = self.leases.get(&lease).is_some_and(|known| known.renewals == renewals);
+                if is_current {
+                    self.end_lease(lease)
                 } else {
                     Err(Not::NoLease)
                 }
@@ -191,7 +202,8 @@
         }
     }
 
-    fn end(&mut self, lease: u64) -> Result<Done, Not> {
+    /// Removes a lease and deletes its keys.
+    fn end_lease(&mut self, lease: u64) -> Result<Done, Not> {
         let ended = self.leases.remove(&lease).ok_or(Not::NoLease)?;
         if !ended.keys.is_empty() {
             self.revision += 1;
@@ -200,8 +212,8 @@
         Ok(Done::Lease(0))
     }
 
-    /// An order is refused whole before anything of it is done.
-    fn check(&self, steps: &[Step]) -> Result<(), Not> {
+    /// Rejects an invalid transaction as a whole, before any step is carried out.
+    fn validate(&self, steps: &[Step]) -> Result<(), Not> {
         let mut written: BTreeSet<&[u8]> = BTreeSet::new();
         for step in steps {
             if let Step::Put { key, lease, .. } = step {
@@ -216,28 +228,29 @@
         Ok(())
     }
 
-    fn holds(&self, compare: &Compare) -> bool {
+    /// Evaluates a comparison.
+    fn matches(&self, compare: &Compare) -> bool {
         let row = self.rows.get(&compare.key);
-        let of = |field: fn(&Row) -> u64| row.map_or(0, field);
-        let order = match &compare.by {
-            By::Version(than) => of(|row| row.version).cmp(than),
-            By::Created(than) => of(|row| row.created).cmp(than),
-            By::Modified(than) => of(|row| row.modified).cmp(than),
-            By::Lease(than) => of(|row| row.lease).cmp(than),
+        let number = |field: fn(&Row) -> u64| row.map_or(0, field);
+        let ordering = match &compare.by {
+            By::Version(than) => number(|row| row.version).cmp(than),
+            By::Created(than) => number(|row| row.created).cmp(than),
+            By::Modified(than) => number(|row| row.modified).cmp(than),
+            By::Lease(than) => number(|row| row.lease).cmp(than),
             By::Value(than) => match row {
                 Some(row) => row.value.cmp(than),
                 None => return false,
             },
         };
         match compare.how {
-            How::Equal => order.is_eq(),
-            How::Greater => order.is_gt(),
-            How::Less => order.is_lt(),
-            How::NotEqual => order.is_ne(),
+            How::Equal => ordering.is_eq(),
+            How::Greater => ordering.is_gt(),
+            How::Less => ordering.is_lt(),
+            How::NotEqual => ordering.is_ne(),
         }
     }
 
-    fn range(&self, range: &Range) -> Vec<Row> {
+    fn read_range(&self, range: &Range) -> Vec<Row> {
         let within = |key: &[u8]| match range.end.as_slice() {
             [] => key == range.key,
             [0] => true,
@@ -248,16 +261,16 @@
         rows.filter(|row| row.modified >= range.since).cloned().collect()
     }
 
-    fn step(&mut self, step: Step, revision: u64, wrote: &mut bool) -> Did {
+    fn execute_step(&mut self, step: Step, revision: u64, wrote: &mut bool) -> Did {
         match step {
-            Step::Read(range) => Did::Read(self.range(&range)),
+            Step::Read(range) => Did::Read(self.read_range(&range)),
             Step::Put { key, value, lease } => {
                 *wrote = true;
                 let old = self.rows.get(&key);
                 let (created, version) = old.map_or((revision, 1), |old| (old.created, old.version + 1));
-                let before = old.map_or(0, |old| old.lease);
-                if let Some(before) = self.leases.get_mut(&before) {
-                    before.keys.remove(&key);
+                let old_lease = old.map_or(0, |old| old.lease);
+                if let Some(old_lease) = self.leases.get_mut(&old_lease) {
+                    old_lease.keys.remove(&key);
                 }
                 if let Some(lease) = self.leases.get_mut(&lease) {
                     lease.keys.insert(key.clone());
@@ -267,7 +280,7 @@
                 Did::Put
             }
             Step::Delete(range) => {
-                let rows = self.range(&Range { since: 0, ..range });
+                let rows = self.read_range(&Range { since: 0, ..range });
                 *wrote |= !rows.is_empty();
                 for row in &rows {
                     self.rows.remove(&row.key);
@@ -282,11 +295,13 @@
 }
 
 impl Order {
+    /// Encodes the command for the log.
     pub fn write(&self) -> Vec<u8> {
-        // Of fields alone, none of which can fail to be written.
+        // A command of plain data always serializes.
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
+    /// Decodes a command; `None` if the bytes are not one.
     pub fn read(bytes: &[u8]) -> Option<Order> {
         postcard::from_bytes(bytes).ok()
     }
--- a/crates/replica/tests/leases.rs
+++ b/crates/replica/tests/leases.rs
@@ -1,47 +1,47 @@
-//! What is concluded from a renewal that did not come: that a lease has run out.
+//! Leases expire when no renewal comes, and only then.
 
 mod common;
 
 use common::Fleet;
 use ravenspar_replica::state::Order;
-use ravenspar_replica::{State, Switches, Time};
+use ravenspar_replica::{FeatureToggles, State, Time};
 
 const SECOND: Time = 10_000;
 const LEASE: u64 = 5;
 const LEASE_SECONDS: u32 = 3;
 
-/// It does not know when the leader before had it renewed: that may have been a moment ago.
+/// A new leader does not know when the previous one last renewed a lease: it may have been a moment ago.
 #[test]
-fn one_that_comes_to_lead_gives_each_lease_its_whole_time() {
+fn a_new_leader_gives_each_lease_its_full_time() {
     for seed in 1..=10 {
-        let whole = Time::from(LEASE_SECONDS) * SECOND;
-        let mut fleet = Fleet::new(seed, 3, Switches::default());
-        fleet.until("three have votes", |fleet| fleet.voters() == 3);
-        let first = fleet.leader().expect("one leads");
+        let full_time = Time::from(LEASE_SECONDS) * SECOND;
+        let mut fleet = Fleet::new(seed, 3, FeatureToggles::default());
+        fleet.run_until("three voters", |fleet| fleet.voters() == 3);
+        let first = fleet.leader().expect("a leader");
         fleet.grant(first, LEASE, LEASE_SECONDS);
-        fleet.until("the lease is given", |fleet| fleet.has_lease(LEASE));
-        fleet.run(whole - SECOND / 2);
-        assert!(fleet.has_lease(LEASE), "seed {seed}: its time is not over");
+        fleet.run_until("the lease is granted", |fleet| fleet.has_lease(LEASE));
+        fleet.run(full_time - SECOND / 2);
+        assert!(fleet.has_lease(LEASE), "seed {seed}: expired before its time");
         fleet.kill(first);
-        fleet.until("another leads", |fleet| fleet.leader().is_some());
-        fleet.run(whole - SECOND / 2);
-        assert!(fleet.has_lease(LEASE), "seed {seed}: it has its whole time");
+        fleet.run_until("another leader", |fleet| fleet.leader().is_some());
+        fleet.run(full_time - SECOND / 2);
+        assert!(fleet.has_lease(LEASE), "seed {seed}: expired before its full time under the new leader");
         fleet.run(SECOND);
-        assert!(!fleet.has_lease(LEASE), "seed {seed}: and no more than that");
+        assert!(!fleet.has_lease(LEASE), "seed {seed}: not expired after its full time");
     }
 }
 
-/// The end was put into the log before the renewal was known, and stands behind it there.
+/// The leader proposed the expiry before it knew of a renewal that precedes it in the log.
 #[test]
-fn an_end_behind_a_renewal_that_it_did_not_know_of_ends_nothing() {
+fn an_expiry_behind_a_renewal_that_it_did_not_know_of_has_no_effect() {
     let mut state = State::default();
     let grant = Order::Grant { lease: LEASE, seconds: LEASE_SECONDS };
-    for order in [grant, Order::Renew { lease: LEASE }] {
-        assert!(state.apply(&order.write()).result.is_ok());
+    for command in [grant, Order::Renew { lease: LEASE }] {
+        assert!(state.apply(&command.write()).result.is_ok());
     }
-    let end = |renewals| Order::End { lease: LEASE, renewals }.write();
-    assert!(state.apply(&end(0)).result.is_err());
+    let expire = |renewals| Order::End { lease: LEASE, renewals }.write();
+    assert!(state.apply(&expire(0)).result.is_err());
     assert!(state.leases.contains_key(&LEASE));
-    assert!(state.apply(&end(1)).result.is_ok());
+    assert!(state.apply(&expire(1)).result.is_ok());
     assert!(!state.leases.contains_key(&LEASE));
 }
