--- a/crates/etcd/build.rs
+++ b/crates/etcd/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the API's definitions in Rust alone, without protoc.
+//! Compiles the API's protobuf definitions without `protoc`.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let files = protox::compile(["proto/etcd.proto"], ["proto"])?;
--- a/crates/etcd/src/client.rs
+++ b/crates/etcd/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls with endpoints tried in turn, deadlines, and retries where a repeat is safe.
+//! Calls with deadlines, failover between endpoints, and retries where they are safe.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
@@ -16,8 +16,9 @@
     TxnResponse,
 };
 
-/// Codes by which a server says that it did not carry a call out. Anything else may come after the effect.
-pub(crate) fn fault(status: &Status) -> Fault {
+/// Maps a status to an error. Some codes mean that the server did not carry out the call; any other may come after it took
+/// effect.
+pub(crate) fn store_error(status: &Status) -> Fault {
     let why = format!("{}: {}", status.code(), status.message());
     match status.code() {
         Code::InvalidArgument
@@ -33,21 +34,22 @@
     }
 }
 
-/// Answers may be as large as etcd sends them at most; tonic's own bound is 4 MiB.
+/// A client that accepts the largest responses that etcd sends; tonic's default limit is 4 MiB.
 fn kv(channel: Channel) -> KvClient<Channel> {
-    const MOST: usize = 64 << 20;
-    KvClient::new(channel).max_decoding_message_size(MOST)
+    const MAX_RESPONSE_BYTES: usize = 64 << 20;
+    KvClient::new(channel).max_decoding_message_size(MAX_RESPONSE_BYTES)
 }
 
+/// A client of an etcd cluster.
 pub struct Client {
     endpoints: Vec<Channel>,
     /// The endpoint that answered last.
     current: AtomicUsize,
     deadline: Duration,
-    chance: Mutex<fastrand::Rng>,
+    rng: Mutex<fastrand::Rng>,
 }
 
-/// Whether a text can be an endpoint; fails with what is wrong.
+/// Checks that a text is a valid endpoint; fails with what is wrong with it.
 pub fn check_endpoint(text: &str) -> Result<(), String> {
     let endpoint = Endpoint::from_shared(text.to_owned()).map_err(|e| format!("{text}: {e}"))?;
     let uri = endpoint.uri();
@@ -58,7 +60,7 @@
 }
 
 impl Client {
-    /// Connects when first needed. `deadline` bounds each single call. Fails with the endpoint that can't be read.
+    /// Creates a client that connects on first use. `deadline` bounds each single call. Fails if an endpoint is invalid.
     pub fn new(endpoints: &[String], deadline: Duration, seed: u64) -> Result<Client, String> {
         let channel = |text: &String| {
             let endpoint = Endpoint::from_shared(text.clone()).map_err(|e| format!("{text}: {e}"))?;
@@ -68,19 +70,21 @@
         if endpoints.is_empty() {
             return Err("expected one endpoint or more".to_owned());
         }
-        let chance = Mutex::new(fastrand::Rng::with_seed(seed));
-        Ok(Client { endpoints, current: AtomicUsize::new(0), deadline, chance })
+        let rng = Mutex::new(fastrand::Rng::with_seed(seed));
+        Ok(Client { endpoints, current: AtomicUsize::new(0), deadline, rng })
     }
 
+    /// The number of endpoints.
     pub fn endpoints(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// Leaves the endpoint that answered last for the next.
+    /// Makes the next call go to the next endpoint, though this one answered.
     pub fn turn_away(&self) {
-        self.turn();
+        self.advance_endpoint();
     }
 
+    /// The deadline of a single call.
     pub fn deadline(&self) -> Duration {
         self.deadline
     }
@@ -89,36 +93,36 @@
         self.endpoints[self.current.load(Ordering::Relaxed) % self.endpoints.len()].clone()
     }
 
-    /// The next call goes to the next endpoint.
-    pub(crate) fn turn(&self) {
+    /// Makes the next call go to the next endpoint.
+    pub(crate) fn advance_endpoint(&self) {
         self.current.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Waits before the nth repeat: up to 50 ms doubled each time, a second at most, drawn evenly so that clients that
-    /// failed together don't come back together.
-    pub(crate) async fn rest(&self, repeat: u32) {
-        let most = (50u64 << repeat.min(5)).min(1_000);
-        let wait = self.chance.lock().map_or(most, |mut chance| chance.u64(0..=most));
+    /// Waits before a retry: exponential backoff from 50 ms to one second, with full jitter so that clients that failed
+    /// together don't retry together.
+    pub(crate) async fn back_off(&self, attempt: u32) {
+        let max_ms = (50u64 << attempt.min(5)).min(1_000);
+        let wait = self.rng.lock().map_or(max_ms, |mut rng| rng.u64(0..=max_ms));
         tokio::time::sleep(Duration::from_millis(wait)).await;
     }
 
-    /// Carries out a call that may be repeated, at each endpoint twice at most.
-    async fn repeated<T, F>(&self, call: impl Fn(Channel) -> F) -> Result<T, Fault>
+    /// Makes a call that may be repeated, at most twice per endpoint.
+    async fn with_retries<T, F>(&self, call: impl Fn(Channel) -> F) -> Result<T, Fault>
     where
         F: std::future::Future<Output = Result<T, Status>>,
     {
-        let mut repeat = 0;
+        let mut attempt = 0;
         loop {
             match call(self.channel()).await {
                 Ok(answer) => return Ok(answer),
                 Err(status) => {
-                    let why = fault(&status);
-                    repeat += 1;
-                    if matches!(why, Fault::Refused(_)) || repeat >= 2 * self.endpoints.len() as u32 {
-                        return Err(why);
+                    let error = store_error(&status);
+                    attempt += 1;
+                    if matches!(error, Fault::Refused(_)) || attempt >= 2 * self.endpoints.len() as u32 {
+                        return Err(error);
                     }
-                    self.turn();
-                    self.rest(repeat).await;
+                    self.advance_endpoint();
+                    self.back_off(attempt).await;
                 }
             }
         }
@@ -126,44 +130,44 @@
 
     /// Reads keys; linearizable unless the request says otherwise.
     pub async fn range(&self, request: RangeRequest) -> Result<RangeResponse, Fault> {
-        self.repeated(|channel| {
+        self.with_retries(|channel| {
             let request = request.clone();
             async move { Ok(kv(channel).range(request).await?.into_inner()) }
         })
         .await
     }
 
-    /// Carries out a transaction, once. See [`Client::commit`] for one whose outcome has to be known.
+    /// Executes a transaction, without retries. See [`Client::commit`] if its outcome has to be known.
     pub async fn txn(&self, request: TxnRequest) -> Result<TxnResponse, Fault> {
         match kv(self.channel()).txn(request).await {
             Ok(answer) => Ok(answer.into_inner()),
             Err(status) => {
-                self.turn();
-                Err(fault(&status))
+                self.advance_endpoint();
+                Err(store_error(&status))
             }
         }
     }
 
-    /// Carries out a transaction that only reads: it may be repeated.
+    /// Executes a read-only transaction, with retries.
     pub async fn read(&self, request: TxnRequest) -> Result<TxnResponse, Fault> {
-        self.repeated(|channel| {
+        self.with_retries(|channel| {
             let request = request.clone();
             async move { Ok(kv(channel).txn(request).await?.into_inner()) }
         })
         .await
     }
 
-    /// Makes a lease of a number that the caller drew at random, and returns its seconds. A repeat that finds the number
-    /// taken found its own.
+    /// Creates a lease with an id that the caller drew at random, and returns its time to live in seconds. If a retry finds
+    /// that the id exists, the earlier attempt created it.
     pub async fn lease_grant(&self, id: i64, seconds: i64) -> Result<i64, Fault> {
-        let asked_before = AtomicUsize::new(0);
-        let asked_before = &asked_before;
-        let made = self
-            .repeated(|channel| async move {
-                let again = asked_before.fetch_add(1, Ordering::Relaxed) > 0;
+        let attempts = AtomicUsize::new(0);
+        let attempts = &attempts;
+        let granted = self
+            .with_retries(|channel| async move {
+                let is_retry = attempts.fetch_add(1, Ordering::Relaxed) > 0;
                 let request = LeaseGrantRequest { ttl: seconds, id };
                 match LeaseClient::new(channel).lease_grant(request).await {
-                    Err(status) if again && status.code() == Code::FailedPrecondition => {
+                    Err(status) if is_retry && status.code() == Code::FailedPrecondition => {
                         Ok((seconds, String::new()))
                     }
                     Err(status) => Err(status),
@@ -174,15 +178,15 @@
                 }
             })
             .await?;
-        match made {
+        match granted {
             (seconds, error) if error.is_empty() => Ok(seconds),
             (_, error) => Err(Fault::Refused(error)),
         }
     }
 
-    /// Ends a lease; its keys go with it. One that is gone already is as good.
+    /// Ends a lease and deletes its keys. Succeeds if the lease is gone already.
     pub async fn lease_revoke(&self, id: i64) -> Result<(), Fault> {
-        self.repeated(|channel| async move {
+        self.with_retries(|channel| async move {
             match LeaseClient::new(channel).lease_revoke(LeaseRevokeRequest { id }).await {
                 Ok(_) => Ok(()),
                 Err(status) if status.code() == Code::NotFound => Ok(()),
@@ -192,10 +196,10 @@
         .await
     }
 
-    /// Renews a lease once and returns the seconds that it has from when the server took the call; none where it is
-    /// gone. Reckon from when this was called: that lies before.
+    /// Renews a lease once and returns its time to live in seconds from when the server handled the call, or `None` if the
+    /// lease is gone. The caller should count from when it made the call, which is earlier.
     pub async fn keep_alive(&self, id: i64) -> Result<Option<i64>, Fault> {
-        self.repeated(|channel| async move {
+        self.with_retries(|channel| async move {
             let requests = tokio_stream::iter([LeaseKeepAliveRequest { id }]);
             let mut answers = LeaseClient::new(channel).lease_keep_alive(requests).await?.into_inner();
             let answer = answers.message().await?;
--- a/crates/etcd/src/commit.rs
+++ b/crates/etcd/src/commit.rs
@@ -1,30 +1,29 @@
-//! Transactions whose outcome is always known in the end.
+//! Transactions whose outcome is resolved when the response is lost.
 
 use ravenspar_store::{at, put, Committed, Fault, Guarded, Range, Step};
 
 use crate::api::response_op::Response;
 use crate::api::TxnRequest;
 use crate::client::Client;
-use crate::words;
+use crate::convert;
 
 fn read(key: &[u8]) -> Step {
     Step::Read(Range { key: key.to_vec(), end: Vec::new(), since: 0 })
 }
 
 impl Client {
-    /// Carries a guarded transaction out, or makes sure that it never is. Fails only when no endpoint could be asked what
-    /// became of it, `fences` times; then nothing is known, and the writer may not write by this witness any more before
-    /// it has read it.
+    /// Commits a guarded transaction or makes sure that it never takes effect. Fails if it is rejected, or if its outcome is
+    /// still unknown after `fences` attempts to find it out; the writer must then read the witness before it uses it again.
     pub async fn commit(&self, guarded: &Guarded, fences: u32) -> Result<Committed, Fault> {
-        let unmoved = at(guarded.witness.clone(), guarded.revision);
-        let compare = std::iter::once(&unmoved).chain(&guarded.compare);
-        let witness_step = put(guarded.witness.clone(), guarded.value.clone(), guarded.lease);
+        let witness_unchanged = at(guarded.witness.clone(), guarded.revision);
+        let compare = std::iter::once(&witness_unchanged).chain(&guarded.compare);
+        let write_witness = put(guarded.witness.clone(), guarded.value.clone(), guarded.lease);
         let request = TxnRequest {
-            compare: compare.map(words::compare).collect(),
-            success: guarded.then.iter().chain([&witness_step]).map(words::step).collect(),
-            failure: vec![words::step(&read(&guarded.witness))],
+            compare: compare.map(convert::compare).collect(),
+            success: guarded.then.iter().chain([&write_witness]).map(convert::step).collect(),
+            failure: vec![convert::step(&read(&guarded.witness))],
         };
-        let mut last = match self.txn(request).await {
+        let mut last_error = match self.txn(request).await {
             Ok(answer) => {
                 let revision = answer.header.as_ref().map_or(0, |header| header.revision as u64);
                 if answer.succeeded {
@@ -34,35 +33,35 @@
                     witness: witness(&answer.responses).map_or(0, |(revision, _)| revision),
                 });
             }
-            // What was refused was not carried out, and nothing of it is under way.
+            // A rejected transaction had no effect, and no copy of it is in flight.
             Err(Fault::Refused(why)) => return Err(Fault::Refused(why)),
             Err(unknown) => unknown,
         };
         for fence in 0..fences {
-            self.rest(fence).await;
+            self.back_off(fence).await;
             match self.fence(guarded, fence).await {
                 Ok(committed) => return Ok(committed),
-                Err(fault) => last = fault,
+                Err(error) => last_error = error,
             }
         }
-        Err(last)
+        Err(last_error)
     }
 
-    /// Writes the witness unless the transaction has: whichever of the two came first, the other can't succeed. A fence
-    /// may itself be repeated: its value says that it is one.
+    /// Writes the witness unless the transaction has: whichever of the two comes first, the other can't succeed. A fence may
+    /// be repeated, as its value tells it from the transaction's.
     async fn fence(&self, guarded: &Guarded, number: u32) -> Result<Committed, Fault> {
         let value = [&guarded.value[..], format!(" fenced {number}").as_bytes()].concat();
         let request = TxnRequest {
-            compare: vec![words::compare(&at(guarded.witness.clone(), guarded.revision))],
-            success: vec![words::step(&put(guarded.witness.clone(), value, guarded.lease))],
-            failure: vec![words::step(&read(&guarded.witness))],
+            compare: vec![convert::compare(&at(guarded.witness.clone(), guarded.revision))],
+            success: vec![convert::step(&put(guarded.witness.clone(), value, guarded.lease))],
+            failure: vec![convert::step(&read(&guarded.witness))],
         };
         let answer = self.txn(request).await?;
         if answer.succeeded {
             let witness = answer.header.map_or(0, |header| header.revision as u64);
             return Ok(Committed::No { witness });
         }
-        // Somebody has written it: the transaction, or an earlier fence. A witness that is gone was written first.
+        // The transaction or an earlier fence has written the witness. If it is gone, it had been written before.
         Ok(match witness(&answer.responses) {
             Some((witness, found)) if found == guarded.value => Committed::Yes { witness },
             Some((witness, _)) => Committed::No { witness },
@@ -71,7 +70,7 @@
     }
 }
 
-/// The witness's revision and value in an answer that read it.
+/// The witness's revision and value in the responses of a transaction that read it.
 fn witness(responses: &[crate::api::ResponseOp]) -> Option<(u64, Vec<u8>)> {
     let range = responses.iter().find_map(|response| match &response.response {
         Some(Response::ResponseRange(range)) => Some(range),
--- a/crates/etcd/src/words.rs
+++ b/crates/etcd/src/convert.rs
@@ -1,4 +1,4 @@
-//! What is asked of a store, in the API's words, and its answers in ours.
+//! Converts between the store's interface and etcd's messages.
 
 use futures_util::future::BoxFuture;
 use ravenspar_store::{By, Committed, Compare, Fault, Guarded, How, Page, Range, Read, Row, Step, Store};
@@ -85,14 +85,15 @@
         })
     }
 
-    fn page(&self, of: Range, limit: usize, revision: u64) -> BoxFuture<'_, Result<Page, Fault>> {
+    fn page(&self, page_range: Range, limit: usize, revision: u64) -> BoxFuture<'_, Result<Page, Fault>> {
         Box::pin(async move {
-            let request = RangeRequest { limit: limit as i64, revision: revision as i64, ..range(&of) };
+            let request =
+                RangeRequest { limit: limit as i64, revision: revision as i64, ..range(&page_range) };
             let answer = self.range(request).await?;
-            // The header has the store's present revision, whatever was asked for.
-            let present = answer.header.as_ref().map_or(0, |header| header.revision as u64);
+            // The header has the store's current revision, whichever one was requested.
+            let current = answer.header.as_ref().map_or(0, |header| header.revision as u64);
             let rows = answer.kvs.into_iter().map(row).collect();
-            Ok(Page { revision: if revision > 0 { revision } else { present }, rows, more: answer.more })
+            Ok(Page { revision: if revision > 0 { revision } else { current }, rows, more: answer.more })
         })
     }
 
--- a/crates/etcd/src/lib.rs
+++ b/crates/etcd/src/lib.rs
@@ -1,13 +1,13 @@
-//! A client of etcd's public v3 API: keys, transactions and leases, as far as ravenspar needs them.
+//! A client of etcd's public v3 API: the parts of keys, transactions, leases and watches that ravenspar needs.
 //!
-//! Reads are retried with jitter at the next endpoint. A transaction whose outcome is unknown is never repeated
-//! blindly: [`Client::commit`] fences it off and reads back what became of it. Sources: etcd.io, "API reference v3" and
+//! Reads are retried with jitter at the next endpoint. A transaction whose outcome is unknown is never simply retried:
+//! [`Client::commit`] fences it off and finds out whether it took effect. Sources: etcd.io, "API reference v3" and
 //! "API guarantees".
 
 mod client;
 mod commit;
+mod convert;
 mod watch;
-mod words;
 
 pub use client::{check_endpoint, Client};
 pub use ravenspar_store::{prefix_end, Committed, Fault, Guarded};
--- a/crates/etcd/src/watch.rs
+++ b/crates/etcd/src/watch.rs
@@ -1,4 +1,4 @@
-//! A watch: what happened to keys since a revision, in order, its fragments put together.
+//! Watches: the ordered changes of keys since a revision, with fragmented responses reassembled.
 
 use tokio::sync::mpsc;
 use tokio_stream::wrappers::ReceiverStream;
@@ -9,36 +9,38 @@
 use crate::api::{WatchCreateRequest, WatchProgressRequest, WatchRequest, WatchResponse};
 use ravenspar_store::Fault;
 
-use crate::client::{fault, Client};
+use crate::client::{store_error, Client};
 
-/// Events that a response put together of fragments may have; more is a fault, so that memory stays bounded.
-const MOST: usize = 100_000;
+/// How many events a reassembled response may have; more is an error, to bound memory.
+const MAX_EVENTS: usize = 100_000;
 
+/// An open watch stream.
 pub struct Watch {
     requests: mpsc::Sender<WatchRequest>,
     responses: Streaming<WatchResponse>,
-    /// Fragments so far.
-    parts: Option<WatchResponse>,
+    /// The fragments of the next response received so far, merged.
+    fragments: Option<WatchResponse>,
 }
 
 impl Client {
-    /// Opens a watch at the endpoint in turn. A failed one turns to the next; whoever asks again says from which revision.
+    /// Opens a watch at the current endpoint. If that fails, the next call uses the next endpoint; the caller says from which
+    /// revision to continue.
     pub async fn watch(&self, create: WatchCreateRequest) -> Result<Watch, Fault> {
         let (requests, queue) = mpsc::channel(4);
         let create = WatchRequest { request_union: Some(RequestUnion::CreateRequest(create)) };
-        // Room is there: the queue is new.
+        // Can't fail: the queue is new.
         let _ = requests.try_send(create);
         let mut client = WatchClient::new(self.channel());
-        // The channel's deadline is for single calls; a stream may last, so it bounds the opening alone.
+        // A stream may stay open, so the deadline of a single call bounds only its opening.
         let opening = tokio::time::timeout(self.deadline(), client.watch(ReceiverStream::new(queue)));
         match opening.await {
-            Ok(Ok(answer)) => Ok(Watch { requests, responses: answer.into_inner(), parts: None }),
+            Ok(Ok(answer)) => Ok(Watch { requests, responses: answer.into_inner(), fragments: None }),
             Ok(Err(status)) => {
-                self.turn();
-                Err(fault(&status))
+                self.advance_endpoint();
+                Err(store_error(&status))
             }
             Err(_) => {
-                self.turn();
+                self.advance_endpoint();
                 Err(Fault::Unknown("the watch was not opened in time".to_owned()))
             }
         }
@@ -46,34 +48,36 @@
 }
 
 impl Watch {
-    /// The next response, whole; none once the server has closed the stream with no word. Canceled responses, with their
-    /// reason, and progress, which is a header without events, are handed on as they are.
+    /// Returns the next complete response, or `None` if the server closed the stream without an error. Cancellations, with
+    /// their reason, and progress notifications (a header without events) are returned like any other.
     pub async fn next(&mut self) -> Result<Option<WatchResponse>, Fault> {
         loop {
-            let Some(part) = self.responses.message().await.map_err(|status| fault(&status))? else {
+            let Some(fragment) = self.responses.message().await.map_err(|status| store_error(&status))?
+            else {
                 return Ok(None);
             };
-            let more = part.fragment;
-            let whole = match self.parts.take() {
-                Some(mut parts) => {
-                    parts.events.extend(part.events);
-                    parts.header = part.header;
-                    parts
+            let more = fragment.fragment;
+            let whole = match self.fragments.take() {
+                Some(mut fragments) => {
+                    fragments.events.extend(fragment.events);
+                    fragments.header = fragment.header;
+                    fragments
                 }
-                None => part,
+                None => fragment,
             };
-            if whole.events.len() > MOST {
-                return Err(Fault::Refused(format!("a response of more than {MOST} events")));
+            if whole.events.len() > MAX_EVENTS {
+                return Err(Fault::Refused(format!("a response of more than {MAX_EVENTS} events")));
             }
             if more {
-                self.parts = Some(whole);
+                self.fragments = Some(whole);
                 continue;
             }
             return Ok(Some(WatchResponse { fragment: false, ..whole }));
         }
     }
 
-    /// Asks up to which revision all has been said. Left out where earlier requests still wait.
+    /// Requests a progress notification: the revision up to which all events have been sent. Skipped if earlier requests are
+    /// still queued.
     pub fn ask_progress(&self) {
         let progress = RequestUnion::ProgressRequest(WatchProgressRequest {});
         let _ = self.requests.try_send(WatchRequest { request_union: Some(progress) });
--- a/crates/list/src/lib.rs
+++ b/crates/list/src/lib.rs
@@ -1,34 +1,34 @@
-//! Follows a server list in a store with revisions, and never moves backward. Pure: no I/O, no clock.
+//! Follows a server list in a store with revisions, and never moves backward. No I/O, no clock.
 //!
 //! The rules:
-//! 1. The revision followed never falls. What is of a lower one is not taken in, and counted; a store that is at a lower
-//!    one, or another store, is not followed at all ([`Stop`]).
+//! 1. The revision never decreases. Updates of a lower revision are ignored and counted; a store at a lower revision, or a
+//!    different store, is not followed at all ([`Stop`]).
 //! 2. No entry is replaced by one of a lower revision.
-//! 3. A start of a server that said it was leaving, and whose key then went, never comes back; nor does one that was
-//!    followed by a later start. A key that went while its server was ready, by its lease running out for one, is a
-//!    server merely dropped: it may come back.
-//! 4. An entry that can't be read changes nothing but its revision: what was known of the server stands.
+//! 3. A start of a server is retired, and never comes back, once the server was leaving and its key was deleted, or once a
+//!    later start was seen. A server whose key was deleted while it was ready, for example because its lease expired, is
+//!    merely dropped and may come back.
+//! 4. An entry that can't be decoded changes nothing but its revision: the server's last known value stays.
 
 use std::collections::BTreeMap;
 
-/// What an entry says, as far as the rules look at it.
+/// What the rules need to know of a server's value.
 pub trait Says: Clone + PartialEq {
     /// When the server last started; larger is later.
     fn boot(&self) -> i64;
-    /// It said that it is leaving, or is gone.
+    /// Returns true if the server is leaving or gone.
     fn leaves(&self) -> bool;
 }
 
-/// Why the store is followed no more until a person says so.
+/// Why the store can't be followed any more until an operator intervenes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Stop {
-    /// It is another store.
+    /// It is a different store.
     Cluster { known: u64, found: u64 },
-    /// It is at an older revision than has been seen of it.
+    /// It is at an older revision than was seen before.
     Backward { known: i64, found: i64 },
 }
 
-/// Whether what a store says, at this revision, can follow on what was seen of one: cluster and revision.
+/// Checks that a store, given by cluster and revision, is the one known and not at an older revision.
 pub fn follows(known: (u64, i64), found: (u64, i64)) -> Result<(), Stop> {
     if known.0 != found.0 {
         return Err(Stop::Cluster { known: known.0, found: found.0 });
@@ -39,49 +39,51 @@
     Ok(())
 }
 
-/// What has to outlive the process, so that the next one can't go back either.
+/// The state that must survive a restart, so that the next process can't move backward either.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Kept {
     pub cluster: u64,
     pub revision: i64,
-    /// The latest start of each server that may not come back.
+    /// The latest retired start of each server.
     pub retired: BTreeMap<String, i64>,
 }
 
 #[derive(Clone, Debug)]
 struct Entry<V> {
     revision: i64,
-    /// None: its key is gone.
-    said: Option<V>,
+    /// `None` if the key was deleted, or the start is retired.
+    value: Option<V>,
 }
 
+/// A server list, kept up to date by reads and watch events under the rules above.
 #[derive(Clone, Debug)]
 pub struct Follower<V> {
     kept: Kept,
     entries: BTreeMap<String, Entry<V>>,
-    /// A complete read under way, at this revision, and what it has found so far.
-    reading: Option<(i64, BTreeMap<String, Entry<V>>)>,
+    /// The complete read in progress: its revision, and the entries found so far.
+    pending_read: Option<(i64, BTreeMap<String, Entry<V>>)>,
     changed: bool,
-    /// Entries and events that were of lower revisions, or of starts that may not come back.
+    /// How many entries and events were ignored: of lower revisions, or of retired starts.
     pub refused: u64,
 }
 
 impl<V: Says> Follower<V> {
     pub fn new(kept: Kept) -> Follower<V> {
-        Follower { kept, entries: BTreeMap::new(), reading: None, changed: false, refused: 0 }
+        Follower { kept, entries: BTreeMap::new(), pending_read: None, changed: false, refused: 0 }
     }
 
+    /// The state to save.
     pub fn kept(&self) -> &Kept {
         &self.kept
     }
 
-    /// The revision that a watch goes on from.
+    /// The revision from which to continue watching.
     pub fn next(&self) -> i64 {
         self.kept.revision + 1
     }
 
-    /// A member of a store has answered, at this revision. One that is older than what was taken in is to be left for
-    /// another; where all are, that store has gone backward.
+    /// Checks the cluster and revision of a store's member that has answered. If the member is behind, another one should
+    /// be tried; if all are behind, the store has moved backward.
     pub fn meets(&mut self, cluster: u64, revision: i64) -> Result<(), Stop> {
         let known = &mut self.kept;
         if known.cluster == 0 {
@@ -90,50 +92,49 @@
         follows((known.cluster, known.revision), (cluster, revision))
     }
 
-    /// A complete read at one revision follows, entry by entry; [`Follower::read_end`] takes it in. One that was under
-    /// way is dropped.
+    /// Starts a complete read at one revision, which [`Follower::read_end`] applies. Discards a read in progress.
     pub fn read_begin(&mut self, revision: i64) {
-        self.reading = Some((revision, BTreeMap::new()));
+        self.pending_read = Some((revision, BTreeMap::new()));
     }
 
-    /// `said`: none where the value can't be read.
-    pub fn read_entry(&mut self, id: &str, revision: i64, said: Option<V>) {
-        let known = || self.entries.get(id).and_then(|entry| entry.said.clone());
-        let said = said.or_else(known);
-        if let Some((_, found)) = &mut self.reading {
-            found.insert(id.to_owned(), Entry { revision, said });
+    /// Adds an entry to the complete read; `value` is `None` if it can't be decoded.
+    pub fn read_entry(&mut self, id: &str, revision: i64, value: Option<V>) {
+        let known = || self.entries.get(id).and_then(|entry| entry.value.clone());
+        let value = value.or_else(known);
+        if let Some((_, found)) = &mut self.pending_read {
+            found.insert(id.to_owned(), Entry { revision, value });
         }
     }
 
-    /// All entries have been read: what is not among them has been deleted meanwhile.
+    /// Applies the complete read: entries that are not part of it have been deleted.
     pub fn read_end(&mut self) {
-        let Some((revision, found)) = self.reading.take() else { return };
+        let Some((revision, found)) = self.pending_read.take() else { return };
         if revision < self.kept.revision {
             self.refused += 1;
             return;
         }
         let gone: Vec<String> = self.entries.keys().filter(|id| !found.contains_key(*id)).cloned().collect();
-        gone.iter().for_each(|id| self.take(id, revision, None));
+        gone.iter().for_each(|id| self.update(id, revision, None));
         for (id, entry) in found {
-            // An entry that can't be read and was not known is none.
-            if entry.said.is_some() {
-                self.take(&id, entry.revision, entry.said);
+            // An entry that can't be decoded and was not known is ignored.
+            if entry.value.is_some() {
+                self.update(&id, entry.revision, entry.value);
             }
         }
         self.kept.revision = revision;
     }
 
-    /// A key was written or, where `said` is none, deleted, at a revision. Those of one revision come one after the other.
-    pub fn event(&mut self, id: &str, revision: i64, said: Option<V>) {
+    /// A key was written or, if `value` is `None`, deleted. Several events may have the same revision.
+    pub fn event(&mut self, id: &str, revision: i64, value: Option<V>) {
         if revision < self.kept.revision {
             self.refused += 1;
             return;
         }
-        self.take(id, revision, said);
+        self.update(id, revision, value);
         self.kept.revision = revision;
     }
 
-    /// A key was written with a value that can't be read.
+    /// A key was written with a value that can't be decoded.
     pub fn unread(&mut self, id: &str, revision: i64) {
         if revision < self.kept.revision {
             self.refused += 1;
@@ -145,47 +146,48 @@
         self.kept.revision = revision;
     }
 
-    /// All up to this revision has been told.
+    /// All events up to this revision have been received.
     pub fn progress(&mut self, revision: i64) {
         self.kept.revision = self.kept.revision.max(revision);
     }
 
-    /// Whether the list has changed since this was last asked: however much came in, it is one change.
+    /// Returns true if the list has changed since the last call, however many updates came in.
     pub fn take_change(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
-    /// The list as it is now, by id.
+    /// The current list, by id.
     pub fn list(&self) -> impl Iterator<Item = (&str, &V)> {
-        self.entries.iter().filter_map(|(id, entry)| Some((id.as_str(), entry.said.as_ref()?)))
+        self.entries.iter().filter_map(|(id, entry)| Some((id.as_str(), entry.value.as_ref()?)))
     }
 
-    fn take(&mut self, id: &str, revision: i64, said: Option<V>) {
+    /// Applies a new value of an entry, or its deletion, under the rules.
+    fn update(&mut self, id: &str, revision: i64, value: Option<V>) {
         let known = self.entries.get(id);
         if known.is_some_and(|known| revision < known.revision) {
             self.refused += 1;
             return;
         }
-        let before = known.and_then(|known| known.said.clone());
+        let old = known.and_then(|known| known.value.clone());
         let retired = self.kept.retired.get(id).copied();
-        let comes_back = |said: &V| retired.is_some_and(|retired| said.boot() <= retired);
-        if said.as_ref().is_some_and(comes_back) {
+        let is_retired = |value: &V| retired.is_some_and(|retired| value.boot() <= retired);
+        if value.as_ref().is_some_and(is_retired) {
             self.refused += 1;
-            // The key's revision counts all the same; nobody is there under it.
-            self.changed |= before.is_some();
-            self.entries.insert(id.to_owned(), Entry { revision, said: None });
+            // The key's revision is kept, but without a value.
+            self.changed |= old.is_some();
+            self.entries.insert(id.to_owned(), Entry { revision, value: None });
             return;
         }
-        let retires = match (&before, &said) {
-            (Some(before), None) => before.leaves().then(|| before.boot()),
-            (Some(before), Some(said)) => (said.boot() > before.boot()).then(|| before.boot()),
+        let newly_retired = match (&old, &value) {
+            (Some(old), None) => old.leaves().then(|| old.boot()),
+            (Some(old), Some(value)) => (value.boot() > old.boot()).then(|| old.boot()),
             (None, _) => None,
         };
-        if let Some(boot) = retires {
+        if let Some(boot) = newly_retired {
             let retired = self.kept.retired.entry(id.to_owned()).or_insert(boot);
             *retired = boot.max(*retired);
         }
-        self.changed |= before != said;
-        self.entries.insert(id.to_owned(), Entry { revision, said });
+        self.changed |= old != value;
+        self.entries.insert(id.to_owned(), Entry { revision, value });
     }
 }
--- a/crates/list/tests/follow.rs
+++ b/crates/list/tests/follow.rs
@@ -1,4 +1,4 @@
-//! The follower never moves backward, whatever comes in.
+//! The follower never moves backward, whatever updates come in.
 
 use std::collections::BTreeMap;
 
@@ -6,12 +6,12 @@
 use ravenspar_list::{Follower, Kept, Says, Stop};
 
 #[derive(Clone, Debug, PartialEq)]
-struct Said {
+struct Server {
     boot: i64,
     leaves: bool,
 }
 
-impl Says for Said {
+impl Says for Server {
     fn boot(&self) -> i64 {
         self.boot
     }
@@ -21,20 +21,20 @@
     }
 }
 
-fn ready(boot: i64) -> Option<Said> {
-    Some(Said { boot, leaves: false })
+fn ready(boot: i64) -> Option<Server> {
+    Some(Server { boot, leaves: false })
 }
 
-fn drains(boot: i64) -> Option<Said> {
-    Some(Said { boot, leaves: true })
+fn leaving(boot: i64) -> Option<Server> {
+    Some(Server { boot, leaves: true })
 }
 
-fn follower() -> Follower<Said> {
+fn follower() -> Follower<Server> {
     Follower::new(Kept::default())
 }
 
-fn boots(follower: &Follower<Said>) -> Vec<(String, i64)> {
-    follower.list().map(|(id, said)| (id.to_owned(), said.boot)).collect()
+fn boots(follower: &Follower<Server>) -> Vec<(String, i64)> {
+    follower.list().map(|(id, server)| (id.to_owned(), server.boot)).collect()
 }
 
 fn a(boot: i64) -> Vec<(String, i64)> {
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn events_of_lower_revisions_and_twice_the_same_change_nothing() {
+fn events_of_lower_revisions_and_duplicates_change_nothing() {
     let mut follower = follower();
     follower.event("a", 5, ready(1));
     follower.event("a", 7, ready(2));
@@ -54,28 +54,28 @@
 }
 
 #[test]
-fn one_that_said_it_leaves_never_comes_back_and_one_merely_dropped_may() {
+fn a_server_that_left_never_comes_back_but_a_dropped_one_may() {
     let mut follower = follower();
     follower.event("a", 1, ready(1));
     follower.event("a", 2, None);
     follower.event("a", 3, ready(1));
     assert_eq!(boots(&follower), a(1));
-    follower.event("a", 4, drains(1));
+    follower.event("a", 4, leaving(1));
     follower.event("a", 5, None);
     follower.event("a", 6, ready(1));
     assert_eq!(boots(&follower), []);
     follower.event("a", 7, ready(2));
     assert_eq!(boots(&follower), a(2));
-    // Nor does a start that was followed by a later one.
+    // Nor does an earlier start once a later one was seen.
     follower.event("a", 8, ready(1));
     assert_eq!(boots(&follower), []);
 }
 
 #[test]
-fn a_read_after_a_compaction_works_deletions_out() {
+fn a_read_after_a_compaction_infers_deletions() {
     let mut follower = follower();
     follower.event("a", 1, ready(1));
-    follower.event("b", 2, drains(1));
+    follower.event("b", 2, leaving(1));
     follower.take_change();
     follower.read_begin(9);
     follower.read_entry("a", 1, ready(1));
@@ -83,17 +83,17 @@
     follower.read_end();
     assert!(follower.take_change());
     assert_eq!(boots(&follower), [a(1), vec![("c".to_owned(), 1)]].concat());
-    // The drained one was retired by it, as if its deletion had been seen.
+    // The read retired the leaving server, as if its deletion had been seen.
     follower.event("b", 10, ready(1));
     assert_eq!(boots(&follower).len(), 2);
-    // A read that is older than what was taken in is none.
+    // A read at an older revision than was reached is ignored.
     follower.read_begin(9);
     follower.read_end();
     assert_eq!(boots(&follower).len(), 2);
 }
 
 #[test]
-fn what_cant_be_read_leaves_what_is_known() {
+fn undecodable_values_leave_the_known_ones() {
     let mut follower = follower();
     follower.event("a", 1, ready(1));
     follower.unread("a", 4);
@@ -107,30 +107,30 @@
 }
 
 #[test]
-fn another_or_an_older_store_is_not_followed() {
+fn a_different_or_older_store_is_not_followed() {
     let mut follower = follower();
     assert_eq!(follower.meets(7, 3), Ok(()));
     follower.event("a", 5, ready(1));
     assert_eq!(follower.meets(7, 4), Err(Stop::Backward { known: 5, found: 4 }));
     assert_eq!(follower.meets(8, 9), Err(Stop::Cluster { known: 7, found: 8 }));
-    // Nor by the next process.
-    let mut next: Follower<Said> = Follower::new(follower.kept().clone());
+    // Nor after a restart.
+    let mut next: Follower<Server> = Follower::new(follower.kept().clone());
     assert!(next.meets(7, 4).is_err());
 }
 
 #[derive(Clone, Debug)]
 enum Step {
     Event(usize, i64, Option<(i64, bool)>),
-    Unread(usize, i64),
+    Undecodable(usize, i64),
     Read(i64, Vec<(usize, i64, i64, bool)>),
     Restart,
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let said = || prop::option::of((1i64..5, any::<bool>()));
+    let server = || prop::option::of((1i64..5, any::<bool>()));
     prop_oneof![
-        6 => (0usize..3, 1i64..30, said()).prop_map(|(id, revision, said)| Step::Event(id, revision, said)),
-        1 => (0usize..3, 1i64..30).prop_map(|(id, revision)| Step::Unread(id, revision)),
+        6 => (0usize..3, 1i64..30, server()).prop_map(|(id, revision, server)| Step::Event(id, revision, server)),
+        1 => (0usize..3, 1i64..30).prop_map(|(id, revision)| Step::Undecodable(id, revision)),
         2 => (1i64..30, prop::collection::vec((0usize..3, 1i64..30, 1i64..5, any::<bool>()), 0..4))
             .prop_map(|(revision, all)| Step::Read(revision, all)),
         1 => Just(Step::Restart),
@@ -138,7 +138,7 @@
 }
 
 proptest! {
-    /// Whatever is told in whatever order: the revision never falls, a retired start is never shown again.
+    /// Whatever updates come in whatever order, the revision never decreases and a retired start never comes back.
     #[test]
     fn nothing_moves_backward(steps in prop::collection::vec(step(), 0..60)) {
         let mut follower = follower();
@@ -146,15 +146,15 @@
         let mut retired: BTreeMap<String, i64> = BTreeMap::new();
         for step in steps {
             match step {
-                Step::Event(id, at, said) => {
-                    let said = said.map(|(boot, leaves)| Said { boot, leaves });
-                    follower.event(&id.to_string(), at, said);
+                Step::Event(id, at, server) => {
+                    let server = server.map(|(boot, leaves)| Server { boot, leaves });
+                    follower.event(&id.to_string(), at, server);
                 }
-                Step::Unread(id, at) => follower.unread(&id.to_string(), at),
+                Step::Undecodable(id, at) => follower.unread(&id.to_string(), at),
                 Step::Read(at, all) => {
                     follower.read_begin(at);
                     for (id, entry, boot, leaves) in all {
-                        follower.read_entry(&id.to_string(), entry.min(at), Some(Said { boot, leaves }));
+                        follower.read_entry(&id.to_string(), entry.min(at), Some(Server { boot, leaves }));
                     }
                     follower.read_end();
                 }
@@ -166,8 +166,8 @@
                 prop_assert!(follower.kept().retired.get(id).is_some_and(|now| now >= boot));
             }
             retired = follower.kept().retired.clone();
-            for (id, said) in follower.list() {
-                prop_assert!(retired.get(id).is_none_or(|retired| said.boot > *retired), "{} came back", id);
+            for (id, server) in follower.list() {
+                prop_assert!(retired.get(id).is_none_or(|retired| server.boot > *retired), "{} came back", id);
             }
         }
     }
--- a/crates/record/src/fault.rs
+++ b/crates/record/src/error.rs
@@ -1,25 +1,21 @@
-//! What can be wrong with a record.
+//! Errors of a record.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// The first three say that the file is not to be used as it is, and that it was left untouched.
+/// Why a record can't be opened, read or written. The first three variants mean that the file can't be used as it is and was
+/// left untouched.
 #[derive(Debug)]
 pub enum Fault {
-    /// It can't be opened: torn, read-only, held by another process, or no file of the store at all.
-    Open {
-        path: PathBuf,
-        why: String,
-    },
-    /// It is a file of the store, made by another program.
+    /// The file can't be opened: torn, read-only, locked by another process, or not a redb database.
+    Open { path: PathBuf, why: String },
+    /// The file is a redb database of another program.
     Foreign(PathBuf),
-    /// It was made by another version of this program.
-    Layout {
-        path: PathBuf,
-        found: u64,
-        expected: u64,
-    },
+    /// The file was written with another layout, by another version of this program.
+    Layout { path: PathBuf, found: u64, expected: u64 },
+    /// Reading failed.
     Read(String),
+    /// Writing failed.
     Write(String),
 }
 
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -1,9 +1,9 @@
-//! The embedded record of one steward: slices with owner, weight and mark, its term, and the list last seen.
+//! The durable record of one steward: slices with owner, weight and mark, the steward's term, and the last server list.
 //!
-//! One file of redb. All of a batch is durable when [`Record::write`] returns, or nothing of it is. Weights are kept
-//! in millionths, so that a line reads back as it went out.
+//! One redb file. A batch is atomic, and durable when [`Record::write`] returns. Weights are stored in millionths, so that a
+//! line reads back exactly as it was written.
 
-mod fault;
+mod error;
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -14,53 +14,54 @@
     StorageBackend, TableDefinition, TableError,
 };
 
-pub use fault::Fault;
+pub use error::Fault;
 
-/// The layout of the file; a file that names another is refused untouched.
+/// The version of the file's layout. A file of another layout is rejected and left untouched.
 const LAYOUT: u64 = 1;
 
+/// Layout, terms and revisions by name.
 const META: TableDefinition<&str, u64> = TableDefinition::new("ravenspar");
 /// Slice to owner (empty: none), weight in millionths, mark and term.
 const SLICES: TableDefinition<u32, (&str, u64, u64, u64)> = TableDefinition::new("slices");
 /// Server to health (0 ready, 1 draining, 2 gone), boot, zone and address.
 const SERVERS: TableDefinition<&str, (u8, i64, &str, &str)> = TableDefinition::new("servers");
 
-/// Servers of a list with revisions, with the latest start of each that may not come back.
+/// Servers of a list with revisions to the latest start of each that is retired: it and earlier ones may not come back.
 const RETIRED: TableDefinition<&str, i64> = TableDefinition::new("retired");
 
-/// Cluster, revision and retired starts of a list that is followed by revisions.
+/// Cluster, revision and retired starts of a server list with revisions.
 pub type Followed = (u64, i64, BTreeMap<String, i64>);
 
-/// One slice as it stands on record.
+/// The record of one slice.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SliceRow {
     pub slice: u32,
-    /// The owner's id; none while the slice is on its way.
+    /// The owner's id; `None` while the slice is being moved.
     pub owner: Option<String>,
-    /// Millionths; below a whole the slice is open to reads alone.
+    /// In millionths; below full weight the slice is open to reads only.
     pub weight: u64,
     pub mark: u64,
     pub term: u64,
-    /// When the owner had last started, as its grantor knew. Not kept here: the list last seen says it.
+    /// When the owner last started, as far as the granting steward knew. Not stored: it is in the last server list.
     pub boot: i64,
 }
 
-/// One server of the list last seen.
+/// One server of the last server list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerRow {
     pub id: String,
     /// 0 ready, 1 draining, 2 gone.
     pub health: u8,
-    /// When it last started, in tenths of a millisecond of the list's clock; 0: long ago.
+    /// When it last started, in units of 0.1 ms by the list's clock; 0: long ago.
     pub boot: i64,
     pub zone: String,
     pub address: String,
 }
 
-/// All that a file holds.
+/// The term, slices and servers in a file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Contents {
-    /// How often a steward has started on this file.
+    /// The latest term; each start of a steward on this file takes the next.
     pub term: u64,
     pub slices: Vec<SliceRow>,
     pub servers: Vec<ServerRow>,
@@ -68,62 +69,63 @@
 
 /// An open record; the file is locked against other processes.
 pub struct Record {
-    base: Database,
+    db: Database,
     path: PathBuf,
 }
 
 impl Record {
-    /// Opens the file, or makes it where there is none. A file that is no record of this layout is left as it is.
+    /// Opens the file, or creates it if it doesn't exist. A file that isn't a record of this layout is left untouched.
     pub fn open(path: &Path) -> Result<Record, Fault> {
         if path.exists() {
-            // Opening a file for writing writes to it, so it is looked at first.
-            look_at(path)?;
-            let base = Database::open(path).map_err(|e| Fault::open(path, e))?;
-            return Ok(Record { base, path: path.to_owned() });
+            // Opening a file for writing already modifies it, so it is inspected first.
+            inspect(path)?;
+            let db = Database::open(path).map_err(|e| Fault::open(path, e))?;
+            return Ok(Record { db, path: path.to_owned() });
         }
-        // Made beside it and moved into place, so that a steward killed here leaves no half-made record.
-        let draft = path.with_extension("draft");
-        let _ = std::fs::remove_file(&draft);
-        let base = Database::create(&draft).map_err(|e| Fault::open(path, e))?;
-        let made = base.begin_write().map_err(Fault::write)?;
+        // Created under another name and renamed, so that a steward killed here leaves no incomplete record.
+        let temporary = path.with_extension("draft");
+        let _ = std::fs::remove_file(&temporary);
+        let db = Database::create(&temporary).map_err(|e| Fault::open(path, e))?;
+        let write = db.begin_write().map_err(Fault::write)?;
         {
-            let mut meta = made.open_table(META).map_err(Fault::write)?;
+            let mut meta = write.open_table(META).map_err(Fault::write)?;
             meta.insert("layout", LAYOUT).map_err(Fault::write)?;
             meta.insert("term", 0).map_err(Fault::write)?;
-            made.open_table(SLICES).map_err(Fault::write)?;
-            made.open_table(SERVERS).map_err(Fault::write)?;
+            write.open_table(SLICES).map_err(Fault::write)?;
+            write.open_table(SERVERS).map_err(Fault::write)?;
         }
-        made.commit().map_err(Fault::write)?;
-        drop(base);
-        std::fs::rename(&draft, path).map_err(|e| Fault::open(path, e.into()))?;
-        sync_folder(path).map_err(|e| Fault::open(path, e.into()))?;
-        let base = Database::open(path).map_err(|e| Fault::open(path, e))?;
-        Ok(Record { base, path: path.to_owned() })
+        write.commit().map_err(Fault::write)?;
+        drop(db);
+        std::fs::rename(&temporary, path).map_err(|e| Fault::open(path, e.into()))?;
+        sync_directory(path).map_err(|e| Fault::open(path, e.into()))?;
+        let db = Database::open(path).map_err(|e| Fault::open(path, e))?;
+        Ok(Record { db, path: path.to_owned() })
     }
 
-    /// Opens the file again after a write that failed: the store takes no more through what is open. What was durable still
-    /// is, and nothing of what failed.
+    /// Opens the file again after a failed write, as redb accepts no more writes through the open database. All that was
+    /// durable still is, and nothing of the failed write.
     pub fn reopen(&mut self) -> Result<(), Fault> {
-        // The file is locked as long as what is open holds it.
-        self.base = Database::builder()
+        // The open database holds the file's lock, so it is replaced first.
+        self.db = Database::builder()
             .create_with_backend(InMemoryBackend::new())
             .map_err(|e| Fault::open(&self.path, e))?;
-        self.base = Database::open(&self.path).map_err(|e| Fault::open(&self.path, e))?;
+        self.db = Database::open(&self.path).map_err(|e| Fault::open(&self.path, e))?;
         Ok(())
     }
 
-    /// Reads a file that no other process holds, and leaves it as it is.
+    /// Reads a file that no other process has open, without modifying it.
     pub fn read(path: &Path) -> Result<Contents, Fault> {
-        look_at(path)
+        inspect(path)
     }
 
+    /// Reads the term, slices and servers.
     pub fn contents(&self) -> Result<Contents, Fault> {
-        contents(&self.base)
+        contents(&self.db)
     }
 
-    /// A new term, larger than any before on this file; durable on return.
+    /// Takes a new term, larger than any before on this file; durable on return.
     pub fn next_term(&self) -> Result<u64, Fault> {
-        let write = self.base.begin_write().map_err(Fault::write)?;
+        let write = self.db.begin_write().map_err(Fault::write)?;
         let term = {
             let mut meta = write.open_table(META).map_err(Fault::write)?;
             let last = meta.get("term").map_err(Fault::write)?.map_or(0, |term| term.value());
@@ -134,17 +136,17 @@
         Ok(term)
     }
 
-    /// The cluster and revision of a shared store that were last seen, if any.
+    /// The cluster and revision last seen of a shared store, if any.
     pub fn seen(&self) -> Result<Option<(u64, u64)>, Fault> {
-        let read = self.base.begin_read().map_err(Fault::read)?;
+        let read = self.db.begin_read().map_err(Fault::read)?;
         let meta = read.open_table(META).map_err(Fault::read)?;
         let value = |name| Ok(meta.get(name).map_err(Fault::read)?.map(|value| value.value()));
         Ok(value("cluster")?.zip(value("revision")?))
     }
 
-    /// Keeps what was last seen of a shared store, or forgets it; durable on return.
+    /// Saves the cluster and revision last seen of a shared store, or removes them; durable on return.
     pub fn see(&self, seen: Option<(u64, u64)>) -> Result<(), Fault> {
-        let write = self.base.begin_write().map_err(Fault::write)?;
+        let write = self.db.begin_write().map_err(Fault::write)?;
         {
             let mut meta = write.open_table(META).map_err(Fault::write)?;
             match seen {
@@ -161,9 +163,9 @@
         write.commit().map_err(Fault::write)
     }
 
-    /// What was kept of a list with revisions; none where none was followed.
+    /// The saved state of a server list with revisions, or `None` if none was followed.
     pub fn followed(&self) -> Result<Option<Followed>, Fault> {
-        let read = self.base.begin_read().map_err(Fault::read)?;
+        let read = self.db.begin_read().map_err(Fault::read)?;
         let meta = read.open_table(META).map_err(Fault::read)?;
         let value = |name| Ok(meta.get(name).map_err(Fault::read)?.map(|value| value.value()));
         let Some((cluster, revision)) = value("list.cluster")?.zip(value("list.revision")?) else {
@@ -183,9 +185,9 @@
         Ok(Some((cluster, revision as i64, retired)))
     }
 
-    /// Keeps what may not be forgotten of a list with revisions; durable on return.
+    /// Saves the state of a server list with revisions that must survive a restart; durable on return.
     pub fn follow(&self, cluster: u64, revision: i64, retired: &BTreeMap<String, i64>) -> Result<(), Fault> {
-        let write = self.base.begin_write().map_err(Fault::write)?;
+        let write = self.db.begin_write().map_err(Fault::write)?;
         {
             let mut meta = write.open_table(META).map_err(Fault::write)?;
             meta.insert("list.cluster", cluster).map_err(Fault::write)?;
@@ -198,9 +200,9 @@
         write.commit().map_err(Fault::write)
     }
 
-    /// Forgets which store a list was followed in and how far; starts that may not come back stay.
+    /// Removes the cluster and revision of a server list, but keeps its retired starts.
     pub fn unfollow(&self) -> Result<(), Fault> {
-        let write = self.base.begin_write().map_err(Fault::write)?;
+        let write = self.db.begin_write().map_err(Fault::write)?;
         {
             let mut meta = write.open_table(META).map_err(Fault::write)?;
             meta.remove("list.cluster").map_err(Fault::write)?;
@@ -209,9 +211,9 @@
         write.commit().map_err(Fault::write)
     }
 
-    /// Writes slices and, where given, the list, as one; durable on return.
+    /// Writes slices and, if given, the server list, atomically; durable on return.
     pub fn write(&self, slices: &[SliceRow], list: Option<&[ServerRow]>) -> Result<(), Fault> {
-        let write = self.base.begin_write().map_err(Fault::write)?;
+        let write = self.db.begin_write().map_err(Fault::write)?;
         {
             let mut table = write.open_table(SLICES).map_err(Fault::write)?;
             for row in slices {
@@ -231,50 +233,54 @@
     }
 }
 
-/// Makes the entry of a file in its folder durable.
-fn sync_folder(path: &Path) -> std::io::Result<()> {
-    let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty()).unwrap_or(Path::new("."));
-    match std::fs::File::open(folder)?.sync_all() {
-        // Some file systems sync no folders.
+/// Makes a file's directory entry durable.
+fn sync_directory(path: &Path) -> std::io::Result<()> {
+    let directory =
+        path.parent().filter(|directory| !directory.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    match std::fs::File::open(directory)?.sync_all() {
+        // Some file systems can't sync directories.
         Err(error) if error.kind() == std::io::ErrorKind::InvalidInput => Ok(()),
         synced => synced,
     }
 }
 
-/// Reads a file without a write to it, and all of it: what is damaged is refused. One that a killed process left behind has to
-/// be mended first, so a copy in memory is looked at.
-fn look_at(path: &Path) -> Result<Contents, Fault> {
-    // The store panics over some damages.
-    let looked = std::panic::catch_unwind(|| look_at_copy(path));
-    let damaged = |why: &str| Fault::Open { path: path.to_owned(), why: format!("it is damaged: {why}") };
-    match looked {
+/// Reads all of a file without modifying it, and rejects a damaged one. A file left by a killed process has to be repaired
+/// before it can be read, so this opens a copy in memory.
+fn inspect(path: &Path) -> Result<Contents, Fault> {
+    // redb panics on some kinds of damage.
+    let inspected = std::panic::catch_unwind(|| inspect_copy(path));
+    let damaged =
+        |why: &str| Fault::Open { path: path.to_owned(), why: format!("the file is damaged: {why}") };
+    match inspected {
         Ok(Err(Fault::Read(why))) => Err(damaged(&why)),
-        Ok(looked) => looked,
-        Err(_) => Err(damaged("the store can't make sense of it")),
+        Ok(contents) => contents,
+        Err(_) => Err(damaged("redb panicked")),
     }
 }
 
-fn look_at_copy(path: &Path) -> Result<Contents, Fault> {
+/// Opens a copy of the file in memory, verifies it and reads it.
+fn inspect_copy(path: &Path) -> Result<Contents, Fault> {
     let unreadable = |error: std::io::Error| Fault::open(path, error.into());
-    // Locks it against a process that writes to it, where it need not be mended.
-    let _held = match ReadOnlyDatabase::open(path) {
-        Ok(held) => Some(held),
+    // Locks the file against a process that writes to it; not possible if it needs repair.
+    let _lock = match ReadOnlyDatabase::open(path) {
+        Ok(lock) => Some(lock),
         Err(DatabaseError::RepairAborted) => None,
         Err(error) => return Err(Fault::open(path, error)),
     };
     let bytes = std::fs::read(path).map_err(unreadable)?;
     let copy = InMemoryBackend::new();
     copy.set_len(bytes.len() as u64).and_then(|()| copy.write(0, &bytes)).map_err(unreadable)?;
-    let mut base = Database::builder().create_with_backend(copy).map_err(|e| Fault::open(path, e))?;
-    if !base.check_integrity().map_err(|e| Fault::open(path, e))? {
+    let mut db = Database::builder().create_with_backend(copy).map_err(|e| Fault::open(path, e))?;
+    if !db.check_integrity().map_err(|e| Fault::open(path, e))? {
         return Err(Fault::read("checksums differ"));
     }
-    check(&base, path)?;
-    contents(&base)
+    check(&db, path)?;
+    contents(&db)
 }
 
-fn check(base: &impl ReadableDatabase, path: &Path) -> Result<(), Fault> {
-    let read = base.begin_read().map_err(Fault::read)?;
+/// Checks that the database is a record of this layout.
+fn check(db: &impl ReadableDatabase, path: &Path) -> Result<(), Fault> {
+    let read = db.begin_read().map_err(Fault::read)?;
     let meta: ReadOnlyTable<&str, u64> = match read.open_table(META) {
         Ok(meta) => meta,
         Err(TableError::TableDoesNotExist(_) | TableError::TableTypeMismatch { .. }) => {
@@ -289,8 +295,8 @@
     }
 }
 
-fn contents(base: &impl ReadableDatabase) -> Result<Contents, Fault> {
-    let read = base.begin_read().map_err(Fault::read)?;
+fn contents(db: &impl ReadableDatabase) -> Result<Contents, Fault> {
+    let read = db.begin_read().map_err(Fault::read)?;
     let meta = read.open_table(META).map_err(Fault::read)?;
     let term = meta.get("term").map_err(Fault::read)?.map_or(0, |term| term.value());
     let mut slices = Vec::new();
--- a/crates/record/tests/files.rs
+++ b/crates/record/tests/files.rs
@@ -1,4 +1,4 @@
-//! Files that are no record, or none any more: refused, and left as they are.
+//! Files that are not a record, or are damaged, are rejected and left untouched.
 
 use std::path::Path;
 
@@ -14,28 +14,28 @@
     ServerRow { id: id.to_owned(), health: 0, boot: 7, zone, address }
 }
 
-/// What opening it says; the file has to be the same afterwards.
-fn refused(path: &Path) -> Fault {
-    let before = std::fs::read(path).expect("the file");
-    let fault = Record::open(path).err().expect("it is refused");
-    assert!(std::fs::read(path).expect("the file") == before, "it was touched");
-    fault
+/// Opens a file that must be rejected and stay unchanged; returns the error.
+fn open_rejected(path: &Path) -> Fault {
+    let before = std::fs::read(path).expect("read the file");
+    let error = Record::open(path).err().expect("an error");
+    assert!(std::fs::read(path).expect("read the file") == before, "the file was modified");
+    error
 }
 
 #[test]
-fn what_was_written_is_read_and_terms_grow() {
-    let dir = tempfile::tempdir().expect("a folder");
+fn writes_are_read_back_and_terms_increase() {
+    let dir = tempfile::tempdir().expect("a temporary directory");
     let path = dir.path().join("steward.redb");
-    let record = Record::open(&path).expect("made");
-    assert_eq!(record.next_term().expect("a term"), 1);
+    let record = Record::open(&path).expect("create");
+    assert_eq!(record.next_term().expect("next term"), 1);
     record
         .write(&[row(0, Some("a"), 500_000), row(1, None, 0)], Some(&[server("a"), server("b")]))
-        .expect("written");
-    record.write(&[row(0, Some("b"), 1_000_000)], Some(&[server("b")])).expect("written");
-    assert!(Record::open(&path).is_err(), "two stewards on one record");
+        .expect("write");
+    record.write(&[row(0, Some("b"), 1_000_000)], Some(&[server("b")])).expect("write");
+    assert!(Record::open(&path).is_err(), "two stewards opened one record");
     drop(record);
-    let record = Record::open(&path).expect("opened");
-    assert_eq!(record.next_term().expect("a term"), 2);
+    let record = Record::open(&path).expect("open");
+    assert_eq!(record.next_term().expect("next term"), 2);
     let contents = record.contents().expect("read");
     assert_eq!(contents.slices, [row(0, Some("b"), 1_000_000), row(1, None, 0)]);
     assert_eq!(contents.servers, [server("b")]);
@@ -44,61 +44,63 @@
 }
 
 #[test]
-fn foreign_newer_and_other_files_are_refused_untouched() {
-    let dir = tempfile::tempdir().expect("a folder");
+fn foreign_newer_and_invalid_files_are_rejected_untouched() {
+    let dir = tempfile::tempdir().expect("a temporary directory");
     let path = dir.path().join("file");
-    std::fs::write(&path, "servers: []\n").expect("written");
-    assert!(matches!(refused(&path), Fault::Open { .. }));
-    std::fs::write(&path, "").expect("written");
-    assert!(matches!(refused(&path), Fault::Open { .. }));
+    std::fs::write(&path, "servers: []\n").expect("write");
+    assert!(matches!(open_rejected(&path), Fault::Open { .. }));
+    std::fs::write(&path, "").expect("write");
+    assert!(matches!(open_rejected(&path), Fault::Open { .. }));
 
     let foreign = dir.path().join("foreign");
-    Database::create(&foreign).expect("made");
-    assert!(matches!(refused(&foreign), Fault::Foreign(_)));
+    Database::create(&foreign).expect("create");
+    assert!(matches!(open_rejected(&foreign), Fault::Foreign(_)));
 
     let newer = dir.path().join("newer");
-    let base = Database::create(&newer).expect("made");
-    let write = base.begin_write().expect("begun");
+    let db = Database::create(&newer).expect("create");
+    let write = db.begin_write().expect("begin");
     let meta: TableDefinition<&str, u64> = TableDefinition::new("ravenspar");
-    write.open_table(meta).expect("a table").insert("layout", 2).expect("written");
-    write.commit().expect("written");
-    drop(base);
-    assert!(matches!(refused(&newer), Fault::Layout { found: 2, expected: 1, .. }));
+    write.open_table(meta).expect("open table").insert("layout", 2).expect("write");
+    write.commit().expect("write");
+    drop(db);
+    assert!(matches!(open_rejected(&newer), Fault::Layout { found: 2, expected: 1, .. }));
 }
 
-/// A process that is killed leaves its file as a copy of an open one is.
+/// The copy of an open file is what a killed process leaves behind.
 #[test]
-fn what_a_killed_process_left_is_read_and_opened() {
-    let dir = tempfile::tempdir().expect("a folder");
+fn the_file_of_a_killed_process_can_be_read_and_opened() {
+    let dir = tempfile::tempdir().expect("a temporary directory");
     let (path, left) = (dir.path().join("steward.redb"), dir.path().join("left.redb"));
-    let record = Record::open(&path).expect("made");
-    record.write(&[row(0, Some("a"), 1_000_000)], None).expect("written");
-    std::fs::copy(&path, &left).expect("copied");
-    let before = std::fs::read(&left).expect("the file");
+    let record = Record::open(&path).expect("create");
+    record.write(&[row(0, Some("a"), 1_000_000)], None).expect("write");
+    std::fs::copy(&path, &left).expect("copy");
+    let before = std::fs::read(&left).expect("read the file");
     assert_eq!(Record::read(&left).expect("read").slices.len(), 1);
-    assert!(std::fs::read(&left).expect("the file") == before, "it was touched");
-    let record = Record::open(&left).expect("opened");
+    assert!(std::fs::read(&left).expect("read the file") == before, "the file was modified");
+    let record = Record::open(&left).expect("open");
     assert_eq!(record.contents().expect("read").slices, [row(0, Some("a"), 1_000_000)]);
 }
 
-/// Whatever length it was cut to: an error or the record, never a panic, and never less than was durable.
+/// A file cut to any length is rejected, or read with all that was durable; nothing panics.
 #[test]
-fn a_torn_file_is_refused_or_whole() {
-    let dir = tempfile::tempdir().expect("a folder");
+fn a_truncated_file_is_rejected_or_read_whole() {
+    let dir = tempfile::tempdir().expect("a temporary directory");
     let path = dir.path().join("steward.redb");
-    let record = Record::open(&path).expect("made");
+    let record = Record::open(&path).expect("create");
     let rows: Vec<SliceRow> = (0..200).map(|slice| row(slice, Some("a"), 1_000_000)).collect();
-    record.write(&rows, None).expect("written");
+    record.write(&rows, None).expect("write");
     drop(record);
-    let whole = std::fs::read(&path).expect("the file");
-    for part in 0..24 {
-        let torn = dir.path().join(format!("torn-{part}"));
-        std::fs::write(&torn, &whole[..whole.len() * part / 24]).expect("written");
-        let before = std::fs::read(&torn).expect("the file");
-        match std::panic::catch_unwind(|| Record::open(&torn).and_then(|record| record.contents())) {
-            Ok(Ok(contents)) => assert_eq!(contents.slices.len(), 200, "cut to {part} of 24"),
-            Ok(Err(_)) => assert!(std::fs::read(&torn).expect("the file") == before, "cut to {part} of 24"),
-            Err(_) => panic!("it panicked, cut to {part} of 24"),
+    let original = std::fs::read(&path).expect("read the file");
+    for cut in 0..24 {
+        let truncated = dir.path().join(format!("truncated-{cut}"));
+        std::fs::write(&truncated, &original[..original.len() * cut / 24]).expect("write");
+        let before = std::fs::read(&truncated).expect("read the file");
+        match std::panic::catch_unwind(|| Record::open(&truncated).and_then(|record| record.contents())) {
+            Ok(Ok(contents)) => assert_eq!(contents.slices.len(), 200, "cut to {cut} of 24"),
+            Ok(Err(_)) => {
+                assert!(std::fs::read(&truncated).expect("read the file") == before, "cut to {cut} of 24")
+            }
+            Err(_) => panic!("panicked, cut to {cut} of 24"),
         }
     }
 }
--- a/crates/record/tests/torn.rs
+++ b/crates/record/tests/torn.rs
@@ -1,5 +1,5 @@
-//! Writes that were under way as the machine stopped: any part of what a commit changes may be on the disk, in any order. The
-//! record is then the one before or the one after, or it is refused by its name.
+//! Commits interrupted by a crash of the machine: any part of the changed sectors may be on the disk, in any order. The record
+//! must then be the one before or the one after, or be rejected with an error that names the file.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -7,26 +7,27 @@
 use fastrand::Rng;
 use ravenspar_record::{Contents, Record, ServerRow, SliceRow};
 
-/// What a disk writes as one.
+/// The unit that a disk writes atomically.
 const SECTOR: usize = 512;
 
+/// The seeds to run, `FROM..TO` in RAVENSPAR_TORN, else two.
 fn seeds() -> std::ops::Range<u64> {
-    let asked = std::env::var("RAVENSPAR_TORN").ok();
-    let asked = asked.as_deref().and_then(|asked| asked.split_once(".."));
-    asked.and_then(|(from, to)| Some(from.parse().ok()?..to.parse().ok()?)).unwrap_or(0..2)
+    let range = std::env::var("RAVENSPAR_TORN").ok();
+    let range = range.as_deref().and_then(|range| range.split_once(".."));
+    range.and_then(|(from, to)| Some(from.parse().ok()?..to.parse().ok()?)).unwrap_or(0..2)
 }
 
-fn rows(chance: &mut Rng) -> Vec<SliceRow> {
-    let count = chance.usize(1..200);
+fn rows(rng: &mut Rng) -> Vec<SliceRow> {
+    let count = rng.usize(1..200);
     let slices: BTreeMap<u32, SliceRow> = (0..count)
         .map(|_| {
-            let slice = chance.u32(0..300);
-            let owner = chance.bool().then(|| format!("server-{}", chance.u8(..)));
+            let slice = rng.u32(0..300);
+            let owner = rng.bool().then(|| format!("server-{}", rng.u8(..)));
             let row = SliceRow {
                 slice,
                 owner,
-                weight: chance.u64(0..=1_000_000),
-                mark: chance.u64(..),
+                weight: rng.u64(0..=1_000_000),
+                mark: rng.u64(..),
                 term: 1,
                 boot: 0,
             };
@@ -36,7 +37,7 @@
     slices.into_values().collect()
 }
 
-fn list(chance: &mut Rng) -> Vec<ServerRow> {
+fn list(rng: &mut Rng) -> Vec<ServerRow> {
     let server = |id: u8| ServerRow {
         id: format!("server-{id}"),
         health: 0,
@@ -44,32 +45,32 @@
         zone: "zone".to_owned(),
         address: "127.0.0.1:1".to_owned(),
     };
-    (0..chance.u8(0..60)).map(server).collect()
+    (0..rng.u8(0..60)).map(server).collect()
 }
 
-/// The file before, with a part of the sectors that differ after.
-fn torn(before: &[u8], after: &[u8], chance: &mut Rng) -> Vec<u8> {
-    let part = chance.f64();
-    // The file may have grown or not.
+/// The file before a commit, with a random part of the sectors written by it.
+fn torn(before: &[u8], after: &[u8], rng: &mut Rng) -> Vec<u8> {
+    let written_share = rng.f64();
+    // The file may have grown already or not.
     let mut torn = before.to_vec();
-    if chance.f64() < 0.8 {
+    if rng.f64() < 0.8 {
         torn.resize(after.len().max(before.len()), 0);
     }
-    for at in (0..torn.len().min(after.len())).step_by(SECTOR) {
-        let end = (at + SECTOR).min(torn.len()).min(after.len());
-        if chance.f64() < part {
-            torn[at..end].copy_from_slice(&after[at..end]);
+    for offset in (0..torn.len().min(after.len())).step_by(SECTOR) {
+        let end = (offset + SECTOR).min(torn.len()).min(after.len());
+        if rng.f64() < written_share {
+            torn[offset..end].copy_from_slice(&after[offset..end]);
         }
     }
     torn
 }
 
-fn opened(path: &Path) -> Result<Contents, String> {
-    let opened = std::panic::catch_unwind(|| Record::open(path).and_then(|record| record.contents()));
-    match opened {
+fn read_contents(path: &Path) -> Result<Contents, String> {
+    let result = std::panic::catch_unwind(|| Record::open(path).and_then(|record| record.contents()));
+    match result {
         Ok(Ok(contents)) => Ok(contents),
-        Ok(Err(fault)) => Err(fault.to_string()),
-        Err(_) => Err("it panicked".to_owned()),
+        Ok(Err(error)) => Err(error.to_string()),
+        Err(_) => Err("panicked".to_owned()),
     }
 }
 
@@ -77,37 +78,37 @@
 struct Counts {
     before: usize,
     after: usize,
-    refused: usize,
+    rejected: usize,
 }
 
-/// Some commits, each torn in some ways.
-fn play(seed: u64, counts: &mut Counts) -> Result<(), String> {
+/// Makes several commits and interrupts each in several random ways.
+fn run_torn_commits(seed: u64, counts: &mut Counts) -> Result<(), String> {
     const COMMITS: usize = 6;
-    const WAYS: usize = 8;
-    let mut chance = Rng::with_seed(seed);
+    const VARIANTS: usize = 8;
+    let mut rng = Rng::with_seed(seed);
     let dir = tempfile::tempdir().map_err(|e| e.to_string())?;
     let (path, left) = (dir.path().join("steward.redb"), dir.path().join("left.redb"));
     let record = Record::open(&path).map_err(|e| e.to_string())?;
     for commit in 0..COMMITS {
-        let (known, before) =
+        let (expected, before) =
             (record.contents().map_err(|e| e.to_string())?, std::fs::read(&path).map_err(|e| e.to_string())?);
-        let rows = rows(&mut chance);
-        let list = chance.bool().then(|| list(&mut chance));
+        let rows = rows(&mut rng);
+        let list = rng.bool().then(|| list(&mut rng));
         record.write(&rows, list.as_deref()).map_err(|e| e.to_string())?;
         let (next, after) =
             (record.contents().map_err(|e| e.to_string())?, std::fs::read(&path).map_err(|e| e.to_string())?);
-        for way in 0..WAYS {
-            std::fs::write(&left, torn(&before, &after, &mut chance)).map_err(|e| e.to_string())?;
-            let at = format!("commit {commit}, way {way}");
-            match opened(&left) {
-                Ok(contents) if contents == known => counts.before += 1,
+        for variant in 0..VARIANTS {
+            std::fs::write(&left, torn(&before, &after, &mut rng)).map_err(|e| e.to_string())?;
+            let case = format!("commit {commit}, way {variant}");
+            match read_contents(&left) {
+                Ok(contents) if contents == expected => counts.before += 1,
                 Ok(contents) if contents == next => counts.after += 1,
-                Ok(_) => return Err(format!("{at}: neither the record before nor the one after")),
+                Ok(_) => return Err(format!("{case}: neither the record before nor the one after")),
                 Err(why) if why.contains("left.redb") => {
-                    println!("seed {seed}, {at}: refused: {why}");
-                    counts.refused += 1;
+                    println!("seed {seed}, {case}: rejected: {why}");
+                    counts.rejected += 1;
                 }
-                Err(why) => return Err(format!("{at}: refused without the file's name: {why}")),
+                Err(why) => return Err(format!("{case}: rejected without the file's name: {why}")),
             }
         }
     }
@@ -115,48 +116,48 @@
 }
 
 #[test]
-fn a_commit_that_was_torn_leaves_the_record_before_or_after() {
+fn a_torn_commit_leaves_the_record_before_or_after() {
     let (mut counts, mut failed) = (Counts::default(), Vec::new());
     for seed in seeds() {
-        failed.extend(play(seed, &mut counts).err().map(|why| (seed, why)));
+        failed.extend(run_torn_commits(seed, &mut counts).err().map(|why| (seed, why)));
     }
     println!("{counts:?}");
     assert!(failed.is_empty(), "{failed:?}");
     assert!(counts.before > 0 && counts.after > 0, "{counts:?}");
 }
 
-/// Bytes that the disk gives back changed: what is read is the record, or it is refused by its name.
+/// A file with corrupted bytes is read unchanged, or rejected with an error that names it.
 #[test]
-fn a_record_with_changed_bytes_is_whole_or_refused_by_its_name() {
-    let (mut whole, mut refused, mut failed) = (0, 0, Vec::new());
+fn a_corrupted_record_is_read_unchanged_or_rejected_by_name() {
+    let (mut intact, mut rejected, mut failed) = (0, 0, Vec::new());
     for seed in seeds() {
-        let mut chance = Rng::with_seed(seed);
-        let dir = tempfile::tempdir().expect("a folder");
+        let mut rng = Rng::with_seed(seed);
+        let dir = tempfile::tempdir().expect("a temporary directory");
         let (path, left) = (dir.path().join("steward.redb"), dir.path().join("left.redb"));
-        let record = Record::open(&path).expect("made");
-        record.write(&rows(&mut chance), Some(&list(&mut chance))).expect("written");
-        let known = record.contents().expect("read");
+        let record = Record::open(&path).expect("create");
+        record.write(&rows(&mut rng), Some(&list(&mut rng))).expect("write");
+        let expected = record.contents().expect("read");
         drop(record);
-        let bytes = std::fs::read(&path).expect("the file");
+        let bytes = std::fs::read(&path).expect("read the file");
         for _ in 0..40 {
             let mut damaged = bytes.clone();
-            let (at, length) = (chance.usize(0..bytes.len()), chance.usize(1..2 * SECTOR));
-            damaged.iter_mut().skip(at).take(length).for_each(|byte| *byte = chance.u8(..));
-            std::fs::write(&left, damaged).expect("written");
-            match opened(&left) {
-                Ok(contents) if contents == known => whole += 1,
-                Ok(_) => failed.push((seed, at, length, "another record".to_owned())),
-                Err(why) if why.contains("left.redb") => refused += 1,
-                Err(why) => failed.push((seed, at, length, why)),
+            let (offset, length) = (rng.usize(0..bytes.len()), rng.usize(1..2 * SECTOR));
+            damaged.iter_mut().skip(offset).take(length).for_each(|byte| *byte = rng.u8(..));
+            std::fs::write(&left, damaged).expect("write");
+            match read_contents(&left) {
+                Ok(contents) if contents == expected => intact += 1,
+                Ok(_) => failed.push((seed, offset, length, "different contents".to_owned())),
+                Err(why) if why.contains("left.redb") => rejected += 1,
+                Err(why) => failed.push((seed, offset, length, why)),
             }
         }
     }
-    println!("whole {whole}, refused {refused}");
+    println!("intact {intact}, rejected {rejected}");
     assert!(
         failed.is_empty(),
         "{} of {}: {:?}",
         failed.len(),
-        whole + refused + failed.len(),
+        intact + rejected + failed.len(),
         &failed[..failed.len().min(6)]
     );
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,26 +1,26 @@
-//! What stewards ask of the store that they share, whatever is behind it: compared transactions, keys bound to leases,
-//! reads of several ranges at one revision, and what changed since one.
+//! The interface of the store that stewards share, independent of its implementation: conditional transactions, keys bound
+//! to leases, reads of several ranges at one revision, and reads of what changed since a revision.
 //!
-//! Keys, comparisons and steps are those of the replicated log's state; a store on etcd's API says the same in its own
-//! words. [`Hand`] is how one life writes: all that it asks for is compared with its witness, so that nothing of it takes
-//! effect once the store has let the life go. `docs/design/sharing.md` has the reasoning.
+//! Keys, comparisons and steps are those of the replicated state machine; a store on etcd's API translates them. [`Hand`]
+//! writes for one incarnation of a steward: each of its transactions is conditional on its witness key, so that none takes
+//! effect once the incarnation's lease has ended in the store. `docs/design/sharing.md` has the reasoning.
 
-mod hand;
+mod writer;
 
 use std::fmt;
 use std::sync::Arc;
 
 use futures_util::future::BoxFuture;
 
-pub use hand::{Hand, Stop};
 pub use ravenspar_replica::state::{By, Compare, How, Range, Row, Step};
+pub use writer::{Hand, Stop};
 
-/// Why a call has no answer.
+/// Why a call failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It surely had no effect: nobody was reached, or it was refused.
+    /// The call had no effect: no server was reached, or it was rejected.
     Refused(String),
-    /// It may have had its effect, or may have it yet.
+    /// The call may have taken effect, or may still do so.
     Unknown(String),
 }
 
@@ -35,103 +35,108 @@
 
 impl std::error::Error for Fault {}
 
-/// Ranges as they were at one revision, in the order in which they were asked for, the rows of each in order of keys.
+/// Ranges read at one revision, in the order requested; the rows of each are sorted by key.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Read {
-    /// Which store it is: another one has another number.
+    /// Identifies the store: a different store has a different number.
     pub cluster: u64,
     pub revision: u64,
     pub ranges: Vec<Vec<Row>>,
 }
 
-/// A part of a range.
+/// One page of a range.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Page {
     pub revision: u64,
     pub rows: Vec<Row>,
-    /// There are more behind the last row.
+    /// The range has more rows after the last one.
     pub more: bool,
 }
 
-/// What became of a guarded transaction.
+/// The outcome of a guarded transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Committed {
-    /// It was carried out; the witness now has this revision.
+    /// It took effect; the witness now has this revision.
     Yes { witness: u64 },
-    /// It was not, and never will be; the witness now has this revision.
+    /// It did not take effect and never will; the witness now has this revision (0: it is gone).
     No { witness: u64 },
 }
 
-/// A transaction with a witness: a key that its writer alone writes, with each of its transactions.
+/// A transaction fenced by a witness: a key that only its writer writes, in each of its transactions.
 ///
-/// It compares the witness's revision and writes the witness anew. So once anything else has written the witness, a
-/// transaction that is still under way somewhere can't succeed any more: that is what makes its outcome final.
+/// The transaction compares the witness's revision and writes the witness again. So once the witness has been written by
+/// anything else, a copy of the transaction that is still in flight can't succeed: its outcome is final.
 #[derive(Clone, Debug)]
 pub struct Guarded {
     pub witness: Vec<u8>,
-    /// The witness's revision of modification; 0: it is not there yet.
+    /// The revision at which the witness was last modified; 0: it doesn't exist yet.
     pub revision: u64,
-    /// No other write of the witness has had this value.
+    /// The witness's new value, which no other write of it has had.
     pub value: Vec<u8>,
-    /// What else has to hold, and what is to be done then.
+    /// The other conditions.
     pub compare: Vec<Compare>,
+    /// The steps to carry out if all conditions hold.
     pub then: Vec<Step>,
     /// The lease that the witness is bound to; 0: none.
     pub lease: u64,
 }
 
-/// A store. Each call bounds its own time.
+/// A store. Each call has a timeout of its own.
 pub trait Store: Send + Sync {
-    /// Reads ranges at one revision, the latest; linearizable.
+    /// Reads ranges at the latest revision; linearizable.
     fn read(&self, ranges: Vec<Range>) -> BoxFuture<'_, Result<Read, Fault>>;
 
-    /// At most `limit` rows of a range as it was at a revision; 0: the latest.
+    /// Reads at most `limit` rows of a range at a revision; 0: the latest.
     fn page(&self, range: Range, limit: usize, revision: u64) -> BoxFuture<'_, Result<Page, Fault>>;
 
-    /// Carries a transaction out, or makes sure that it never is, by fences, so many at most. Fails only where nothing is
-    /// known; then the writer may not write by this witness any more before it has read it.
+    /// Commits a transaction. If its outcome is unknown, makes at most `fences` attempts to find it out by writing the
+    /// witness. Fails only if nothing is known; the writer must then read the witness before it uses it again.
     fn commit(&self, guarded: Guarded, fences: u32) -> BoxFuture<'_, Result<Committed, Fault>>;
 
-    /// Makes a lease of a number that the caller drew at random, and returns its seconds. May be repeated.
+    /// Creates a lease with an id that the caller drew at random, and returns its time to live in seconds. May be retried.
     fn grant(&self, lease: u64, seconds: u32) -> BoxFuture<'_, Result<u32, Fault>>;
 
-    /// Renews a lease and returns the seconds that it has from when the store took the call; none where it is gone.
-    /// Reckon from when this was called: that lies before.
+    /// Renews a lease and returns its time to live in seconds from when the store handled the call, or `None` if the lease
+    /// is gone. The caller should count from when it made the call, which is earlier.
     fn renew(&self, lease: u64) -> BoxFuture<'_, Result<Option<u32>, Fault>>;
 
-    /// Ends a lease; its keys go with it. One that is gone already is as good.
+    /// Ends a lease and deletes its keys. Succeeds if the lease is gone already.
     fn revoke(&self, lease: u64) -> BoxFuture<'_, Result<(), Fault>>;
 }
 
+/// A store shared between tasks.
 pub type Shared = Arc<dyn Store>;
 
-/// Steps in one transaction: etcd takes 128 operations unless told otherwise, and some are for other keys.
+/// How many steps a caller may put into one transaction: etcd accepts 128 operations by default, and some are needed for
+/// other keys.
 pub const MOST: usize = 100;
 
-/// The key's last write has this revision; 0: it is not there.
+/// The condition that a key was last modified at this revision; 0: that it doesn't exist.
 pub fn at(key: Vec<u8>, revision: u64) -> Compare {
     Compare { key, how: How::Equal, by: By::Modified(revision) }
 }
 
+/// The condition that a key exists.
 pub fn there(key: Vec<u8>) -> Compare {
     Compare { key, how: How::Greater, by: By::Modified(0) }
 }
 
-/// `lease`: what the key is bound to; 0: nothing.
+/// The step that writes a key and binds it to a lease; 0: to none.
 pub fn put(key: Vec<u8>, value: Vec<u8>, lease: u64) -> Step {
     Step::Put { key, value, lease }
 }
 
+/// The step that deletes a key.
 pub fn delete(key: Vec<u8>) -> Step {
     Step::Delete(Range { key, end: Vec::new(), since: 0 })
 }
 
-/// All keys with a prefix that were written at a revision or later; 0: all.
+/// All keys with a prefix that were modified at the revision `since` or later; 0: all.
 pub fn under(prefix: Vec<u8>, since: u64) -> Range {
     Range { end: prefix_end(&prefix), key: prefix, since }
 }
 
-/// The end of the range of all keys with a prefix: the prefix with its last byte that can grow grown by one.
+/// The end of the range of all keys with a prefix: the prefix with its last byte below 0xff incremented, cut after it.
 pub fn prefix_end(prefix: &[u8]) -> Vec<u8> {
     let mut end = prefix.to_vec();
     while let Some(last) = end.pop() {
@@ -140,21 +145,21 @@
             return end;
         }
     }
-    vec![0] // the API's word for all keys from there on
+    vec![0] // in etcd's API: all keys from the start of the range on
 }
 
-/// All rows of a range, read by pages at one revision, which is returned.
+/// Reads all rows of a range, page by page at one revision, which is returned with them.
 pub async fn all(store: &dyn Store, range: Range) -> Result<(u64, Vec<Row>), Fault> {
     all_at(store, range, 0).await
 }
 
-/// Likewise, as they were at a revision; 0: the latest.
+/// Like [`all`], at a given revision; 0: the latest.
 pub async fn all_at(store: &dyn Store, range: Range, revision: u64) -> Result<(u64, Vec<Row>), Fault> {
-    /// Rows a page: a megabyte or two, a twentieth of the largest answer that is taken; a hundred thousand rows are ten calls.
-    const PAGE: usize = 10_000;
+    /// One or two megabytes, a twentieth of the largest response accepted; 100,000 rows take ten calls.
+    const PAGE_ROWS: usize = 10_000;
     let (mut next, mut revision, mut rows) = (range.clone(), revision, Vec::new());
     loop {
-        let page = store.page(next.clone(), PAGE, revision).await?;
+        let page = store.page(next.clone(), PAGE_ROWS, revision).await?;
         revision = page.revision;
         rows.extend(page.rows);
         match rows.last().filter(|_| page.more) {
@@ -169,7 +174,7 @@
     use super::prefix_end;
 
     #[test]
-    fn a_prefix_ends_before_the_next() {
+    fn prefix_end_is_the_first_key_after_the_prefix() {
         assert_eq!(prefix_end(b"ab"), b"ac");
         assert_eq!(prefix_end(b"a\xff"), b"b");
         assert_eq!(prefix_end(b"\xff"), b"\0");
--- a/crates/store/src/hand.rs
+++ b/crates/store/src/writer.rs
@@ -1,16 +1,17 @@
-//! How one life writes at the store.
+//! Fenced writes of one incarnation of a steward.
 
 use crate::{Committed, Compare, Fault, Guarded, Shared, Step};
 
-/// Fences before an outcome is given up: with their waits and deadlines far longer than a membership lasts.
+/// How many fences are tried before an outcome counts as unknown: with their waits and timeouts, far longer than a
+/// membership's lease.
 const FENCES: u32 = 12;
 
-/// Why a life can't go on, or a step was not carried out.
+/// Why a write was not carried out.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Stop {
-    /// What was compared is not so.
+    /// A condition does not hold; further writes are possible.
     Not,
-    /// The membership is gone, or it is not known what became of a transaction.
+    /// The lease is gone, or a transaction's outcome is unknown: no further writes are possible.
     Over(String),
 }
 
@@ -20,24 +21,25 @@
     }
 }
 
-/// A life's hand at the store: what it writes goes in order, each write compared with the witness that the one before
-/// wrote, which is bound to the life's lease. So nothing of it takes effect once its lease is over there.
+/// Writes to the store for one incarnation, in order. Each write is conditional on the witness as the previous one left it,
+/// and the witness is bound to the incarnation's lease, so no write takes effect once the lease has ended in the store.
 pub struct Hand {
     pub store: Shared,
     lease: u64,
     key: Vec<u8>,
-    /// The witness's revision, and how often it was written.
+    /// The witness's revision; 0 before the first commit.
     witness: u64,
+    /// How many commits were attempted; the witness's value.
     count: u64,
 }
 
 impl Hand {
-    /// `key`: of its witness, as no other hand's. It is there from the first commit on.
+    /// `key` is the witness's key, which no other writer may use. It exists from the first commit on.
     pub fn new(store: Shared, lease: u64, key: Vec<u8>) -> Hand {
         Hand { store, lease, key, witness: 0, count: 0 }
     }
 
-    /// Carries a transaction out on condition that the lease is not over; returns its revision.
+    /// Commits a transaction if the conditions hold and the lease has not ended; returns its revision.
     pub async fn commit(&mut self, compare: Vec<Compare>, then: Vec<Step>) -> Result<u64, Stop> {
         self.count += 1;
         let guarded = Guarded {
@@ -54,7 +56,7 @@
                 self.witness = witness;
                 Ok(witness)
             }
-            // Before the first write it is not there either way.
+            // Before the first write the witness doesn't exist in any case.
             Committed::No { witness: 0 } if !first => {
                 Err(Stop::Over("the store has let the membership go".to_owned()))
             }
