--- a/crates/etcd/src/commit.rs
+++ b/crates/etcd/src/commit.rs
@@ -14,14 +14,14 @@
 impl Client {
     /// Commits a guarded transaction or makes sure that it never takes effect. Fails if it is rejected, or if its outcome is
     /// still unknown after `fences` attempts to find it out; the writer must then read the witness before it uses it again.
-    pub async fn commit(&self, guarded: &Guarded, fences: u32) -> Result<Committed, Fault> {
-        let witness_unchanged = at(guarded.witness.clone(), guarded.revision);
-        let compare = std::iter::once(&witness_unchanged).chain(&guarded.compare);
-        let write_witness = put(guarded.witness.clone(), guarded.value.clone(), guarded.lease);
+    pub async fn commit(&self, transaction: &Guarded, fences: u32) -> Result<Committed, Fault> {
+        let witness_unchanged = at(transaction.witness.clone(), transaction.revision);
+        let compare = std::iter::once(&witness_unchanged).chain(&transaction.compare);
+        let write_witness = put(transaction.witness.clone(), transaction.value.clone(), transaction.lease);
         let request = TxnRequest {
             compare: compare.map(convert::compare).collect(),
-            success: guarded.then.iter().chain([&write_witness]).map(convert::step).collect(),
-            failure: vec![convert::step(&read(&guarded.witness))],
+            success: transaction.then.iter().chain([&write_witness]).map(convert::step).collect(),
+            failure: vec![convert::step(&read(&transaction.witness))],
         };
         let mut last_error = match self.txn(request).await {
             Ok(answer) => {
@@ -39,7 +39,7 @@
         };
         for fence in 0..fences {
             self.back_off(fence).await;
-            match self.fence(guarded, fence).await {
+            match self.fence(transaction, fence).await {
                 Ok(committed) => return Ok(committed),
                 Err(error) => last_error = error,
             }
@@ -49,12 +49,12 @@
 
     /// Writes the witness unless the transaction has: whichever of the two comes first, the other can't succeed. A fence may
     /// be repeated, as its value tells it from the transaction's.
-    async fn fence(&self, guarded: &Guarded, number: u32) -> Result<Committed, Fault> {
-        let value = [&guarded.value[..], format!(" fenced {number}").as_bytes()].concat();
+    async fn fence(&self, transaction: &Guarded, number: u32) -> Result<Committed, Fault> {
+        let value = [&transaction.value[..], format!(" fenced {number}").as_bytes()].concat();
         let request = TxnRequest {
-            compare: vec![convert::compare(&at(guarded.witness.clone(), guarded.revision))],
-            success: vec![convert::step(&put(guarded.witness.clone(), value, guarded.lease))],
-            failure: vec![convert::step(&read(&guarded.witness))],
+            compare: vec![convert::compare(&at(transaction.witness.clone(), transaction.revision))],
+            success: vec![convert::step(&put(transaction.witness.clone(), value, transaction.lease))],
+            failure: vec![convert::step(&read(&transaction.witness))],
         };
         let answer = self.txn(request).await?;
         if answer.succeeded {
@@ -63,7 +63,7 @@
         }
         // The transaction or an earlier fence has written the witness. If it is gone, it had been written before.
         Ok(match witness(&answer.responses) {
-            Some((witness, found)) if found == guarded.value => Committed::Yes { witness },
+            Some((witness, found)) if found == transaction.value => Committed::Yes { witness },
             Some((witness, _)) => Committed::No { witness },
             None => return Err(Fault::Unknown("the witness is gone, its lease with it".to_owned())),
         })
--- a/crates/etcd/src/convert.rs
+++ b/crates/etcd/src/convert.rs
@@ -1,7 +1,9 @@
 //! Converts between the store's interface and etcd's messages.
 
 use futures_util::future::BoxFuture;
-use ravenspar_store::{By, Committed, Compare, Fault, Guarded, How, Page, Range, Read, Row, Step, Store};
+use ravenspar_store::{
+    Committed, Compare, CompareOp, Fault, Guarded, Operand, Page, Range, Read, Row, Step, Store,
+};
 
 use crate::api;
 use crate::api::compare::{CompareResult, CompareTarget, TargetUnion};
@@ -12,17 +14,17 @@
 
 pub(crate) fn compare(compare: &Compare) -> api::Compare {
     let result = match compare.how {
-        How::Equal => CompareResult::Equal,
-        How::Greater => CompareResult::Greater,
-        How::Less => CompareResult::Less,
-        How::NotEqual => CompareResult::NotEqual,
+        CompareOp::Equal => CompareResult::Equal,
+        CompareOp::Greater => CompareResult::Greater,
+        CompareOp::Less => CompareResult::Less,
+        CompareOp::NotEqual => CompareResult::NotEqual,
     };
     let (target, union) = match &compare.by {
-        By::Version(version) => (CompareTarget::Version, TargetUnion::Version(*version as i64)),
-        By::Created(revision) => (CompareTarget::Create, TargetUnion::CreateRevision(*revision as i64)),
-        By::Modified(revision) => (CompareTarget::Mod, TargetUnion::ModRevision(*revision as i64)),
-        By::Lease(lease) => (CompareTarget::Lease, TargetUnion::Lease(*lease as i64)),
-        By::Value(value) => (CompareTarget::Value, TargetUnion::Value(value.clone())),
+        Operand::Version(version) => (CompareTarget::Version, TargetUnion::Version(*version as i64)),
+        Operand::Created(revision) => (CompareTarget::Create, TargetUnion::CreateRevision(*revision as i64)),
+        Operand::Modified(revision) => (CompareTarget::Mod, TargetUnion::ModRevision(*revision as i64)),
+        Operand::Lease(lease) => (CompareTarget::Lease, TargetUnion::Lease(*lease as i64)),
+        Operand::Value(value) => (CompareTarget::Value, TargetUnion::Value(value.clone())),
     };
     api::Compare {
         result: result as i32,
@@ -97,8 +99,8 @@
         })
     }
 
-    fn commit(&self, guarded: Guarded, fences: u32) -> BoxFuture<'_, Result<Committed, Fault>> {
-        Box::pin(async move { Client::commit(self, &guarded, fences).await })
+    fn commit(&self, transaction: Guarded, fences: u32) -> BoxFuture<'_, Result<Committed, Fault>> {
+        Box::pin(async move { Client::commit(self, &transaction, fences).await })
     }
 
     fn grant(&self, lease: u64, seconds: u32) -> BoxFuture<'_, Result<u32, Fault>> {
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -30,7 +30,7 @@
 const RETIRED: TableDefinition<&str, i64> = TableDefinition::new("retired");
 
 /// Cluster, revision and retired starts of a server list with revisions.
-pub type Followed = (u64, i64, BTreeMap<String, i64>);
+pub type ListState = (u64, i64, BTreeMap<String, i64>);
 
 /// The record of one slice.
 #[derive(Clone, Debug, PartialEq)]
@@ -164,7 +164,7 @@
     }
 
     /// The saved state of a server list with revisions, or `None` if none was followed.
-    pub fn followed(&self) -> Result<Option<Followed>, Fault> {
+    pub fn followed(&self) -> Result<Option<ListState>, Fault> {
         let read = self.db.begin_read().map_err(Fault::read)?;
         let meta = read.open_table(META).map_err(Fault::read)?;
         let value = |name| Ok(meta.get(name).map_err(Fault::read)?.map(|value| value.value()));
--- a/crates/replica/src/node.rs
+++ b/crates/replica/src/node.rs
@@ -183,7 +183,7 @@
         self.applied = index;
         let Body::Order(command) = &entry.body else { return };
         let outcome = self.state.apply(command);
-        let lease = match Order::read(command) {
+        let lease = match Order::decode(command) {
             Some(Order::Grant { lease, .. } | Order::Renew { lease }) => Some(lease),
             Some(Order::Revoke { lease } | Order::End { lease, .. }) => Some(lease),
             _ => None,
--- a/crates/replica/src/state.rs
+++ b/crates/replica/src/state.rs
@@ -19,7 +19,7 @@
 
 /// The operator of a comparison.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum How {
+pub enum CompareOp {
     Equal,
     Greater,
     Less,
@@ -28,7 +28,7 @@
 
 /// What a comparison looks at, and what with. A missing key has zeros and no value, so no comparison by value holds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum By {
+pub enum Operand {
     Version(u64),
     Created(u64),
     Modified(u64),
@@ -40,8 +40,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Compare {
     pub key: Vec<u8>,
-    pub how: How,
-    pub by: By,
+    pub how: CompareOp,
+    pub by: Operand,
 }
 
 /// The keys from `key` up to, but not including, `end`. An empty end means `key` alone; an end of one zero byte means all
@@ -118,11 +118,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Not {
     /// The lease exists already.
-    Taken,
+    LeaseExists,
     /// The lease does not exist, or was renewed before it could expire.
-    NoLease,
+    LeaseNotFound,
     /// One transaction puts the same key twice.
-    Twice,
+    DuplicateKey,
     /// The command can't be decoded.
     Unread,
 }
@@ -154,7 +154,7 @@
 impl State {
     /// Carries out a command, as encoded by [`Order::write`].
     pub fn apply(&mut self, command: &[u8]) -> Outcome {
-        let result = match Order::read(command) {
+        let result = match Order::decode(command) {
             Some(command) => self.execute(command),
             None => Err(Not::Unread),
         };
@@ -179,13 +179,13 @@
                 self.revision += u64::from(wrote);
                 Ok(Done::Did { held, steps })
             }
-            Order::Grant { lease, .. } if self.leases.contains_key(&lease) => Err(Not::Taken),
+            Order::Grant { lease, .. } if self.leases.contains_key(&lease) => Err(Not::LeaseExists),
             Order::Grant { lease, seconds } => {
                 self.leases.insert(lease, Lease { seconds, renewals: 0, keys: BTreeSet::new() });
                 Ok(Done::Lease(seconds))
             }
             Order::Renew { lease } => {
-                let known = self.leases.get_mut(&lease).ok_or(Not::NoLease)?;
+                let known = self.leases.get_mut(&lease).ok_or(Not::LeaseNotFound)?;
                 known.renewals += 1;
                 Ok(Done::Lease(known.seconds))
             }
@@ -196,7 +196,7 @@
                 if is_current {
                     self.end_lease(lease)
                 } else {
-                    Err(Not::NoLease)
+                    Err(Not::LeaseNotFound)
                 }
             }
         }
@@ -204,7 +204,7 @@
 
     /// Removes a lease and deletes its keys.
     fn end_lease(&mut self, lease: u64) -> Result<Done, Not> {
-        let ended = self.leases.remove(&lease).ok_or(Not::NoLease)?;
+        let ended = self.leases.remove(&lease).ok_or(Not::LeaseNotFound)?;
         if !ended.keys.is_empty() {
             self.revision += 1;
         }
@@ -218,10 +218,10 @@
         for step in steps {
             if let Step::Put { key, lease, .. } = step {
                 if *lease != 0 && !self.leases.contains_key(lease) {
-                    return Err(Not::NoLease);
+                    return Err(Not::LeaseNotFound);
                 }
                 if !written.insert(key) {
-                    return Err(Not::Twice);
+                    return Err(Not::DuplicateKey);
                 }
             }
         }
@@ -233,20 +233,20 @@
         let row = self.rows.get(&compare.key);
         let number = |field: fn(&Row) -> u64| row.map_or(0, field);
         let ordering = match &compare.by {
-            By::Version(than) => number(|row| row.version).cmp(than),
-            By::Created(than) => number(|row| row.created).cmp(than),
-            By::Modified(than) => number(|row| row.modified).cmp(than),
-            By::Lease(than) => number(|row| row.lease).cmp(than),
-            By::Value(than) => match row {
+            Operand::Version(than) => number(|row| row.version).cmp(than),
+            Operand::Created(than) => number(|row| row.created).cmp(than),
+            Operand::Modified(than) => number(|row| row.modified).cmp(than),
+            Operand::Lease(than) => number(|row| row.lease).cmp(than),
+            Operand::Value(than) => match row {
                 Some(row) => row.value.cmp(than),
                 None => return false,
             },
         };
         match compare.how {
-            How::Equal => ordering.is_eq(),
-            How::Greater => ordering.is_gt(),
-            How::Less => ordering.is_lt(),
-            How::NotEqual => ordering.is_ne(),
+            CompareOp::Equal => ordering.is_eq(),
+            CompareOp::Greater => ordering.is_gt(),
+            CompareOp::Less => ordering.is_lt(),
+            CompareOp::NotEqual => ordering.is_ne(),
         }
     }
 
@@ -302,7 +302,7 @@
     }
 
     /// Decodes a command; `None` if the bytes are not one.
-    pub fn read(bytes: &[u8]) -> Option<Order> {
+    pub fn decode(bytes: &[u8]) -> Option<Order> {
         postcard::from_bytes(bytes).ok()
     }
 }
--- a/crates/replica/tests/common/mod.rs
+++ b/crates/replica/tests/common/mod.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use ravenspar_replica::state::{By, Compare, Did, Done, How, Order, Range, Step};
+use ravenspar_replica::state::{Compare, CompareOp, Did, Done, Operand, Order, Range, Step};
 use ravenspar_replica::{
     Action, Answer, Effect, Entry, FeatureToggles, HardState, Hash, Id, Index, Log, Member, Message, Node,
     Replica, Request, Settings, State, Time,
@@ -173,7 +173,8 @@
     pub fn put(&mut self, n: usize, key: &str) {
         let step = Step::Put { key: key.as_bytes().to_vec(), value: Vec::new(), lease: 0 };
         let read_back = Step::Read(Range { key: key.as_bytes().to_vec(), end: Vec::new(), since: 0 });
-        let exists = Compare { key: key.as_bytes().to_vec(), how: How::Greater, by: By::Version(0) };
+        let exists =
+            Compare { key: key.as_bytes().to_vec(), how: CompareOp::Greater, by: Operand::Version(0) };
         let command = Order::Do {
             compare: vec![exists],
             then: vec![step.clone(), read_back.clone()],
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -12,7 +12,7 @@
 
 use futures_util::future::BoxFuture;
 
-pub use ravenspar_replica::state::{By, Compare, How, Range, Row, Step};
+pub use ravenspar_replica::state::{Compare, CompareOp, Operand, Range, Row, Step};
 pub use writer::{Hand, Stop};
 
 /// Why a call failed.
@@ -91,7 +91,7 @@
 
     /// Commits a transaction. If its outcome is unknown, makes at most `fences` attempts to find it out by writing the
     /// witness. Fails only if nothing is known; the writer must then read the witness before it uses it again.
-    fn commit(&self, guarded: Guarded, fences: u32) -> BoxFuture<'_, Result<Committed, Fault>>;
+    fn commit(&self, transaction: Guarded, fences: u32) -> BoxFuture<'_, Result<Committed, Fault>>;
 
     /// Creates a lease with an id that the caller drew at random, and returns its time to live in seconds. May be retried.
     fn grant(&self, lease: u64, seconds: u32) -> BoxFuture<'_, Result<u32, Fault>>;
@@ -113,12 +113,12 @@
 
 /// The condition that a key was last modified at this revision; 0: that it doesn't exist.
 pub fn at(key: Vec<u8>, revision: u64) -> Compare {
-    Compare { key, how: How::Equal, by: By::Modified(revision) }
+    Compare { key, how: CompareOp::Equal, by: Operand::Modified(revision) }
 }
 
 /// The condition that a key exists.
 pub fn there(key: Vec<u8>) -> Compare {
-    Compare { key, how: How::Greater, by: By::Modified(0) }
+    Compare { key, how: CompareOp::Greater, by: Operand::Modified(0) }
 }
 
 /// The step that writes a key and binds it to a lease; 0: to none.
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -42,7 +42,7 @@
     /// Commits a transaction if the conditions hold and the lease has not ended; returns its revision.
     pub async fn commit(&mut self, compare: Vec<Compare>, then: Vec<Step>) -> Result<u64, Stop> {
         self.count += 1;
-        let guarded = Guarded {
+        let transaction = Guarded {
             witness: self.key.clone(),
             revision: self.witness,
             value: self.count.to_string().into_bytes(),
@@ -51,7 +51,7 @@
             lease: self.lease,
         };
         let first = self.witness == 0;
-        match self.store.commit(guarded, FENCES).await? {
+        match self.store.commit(transaction, FENCES).await? {
             Committed::Yes { witness } => {
                 self.witness = witness;
                 Ok(witness)
