--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -153,7 +153,7 @@
     all_at(store, range, 0).await
 }
 
-/// Like [`all`], at a given revision; 0: the latest.
+/// Reads all rows of a range as they were at a revision; 0: the latest.
 pub async fn all_at(store: &dyn Store, range: Range, revision: u64) -> Result<(u64, Vec<Row>), Fault> {
     /// One or two megabytes, a twentieth of the largest response accepted; 100,000 rows take ten calls.
     const PAGE_ROWS: usize = 10_000;
