--- a/crates/etcd/src/client.rs
+++ b/crates/etcd/src/client.rs
@@ -43,7 +43,7 @@
 /// A client of an etcd cluster.
 pub struct Client {
     endpoints: Vec<Channel>,
-    /// The endpoint that answered last.
+    /// The endpoint that the next call goes to, modulo their number.
     current: AtomicUsize,
     deadline: Duration,
     rng: Mutex<fastrand::Rng>,
@@ -114,7 +114,7 @@
         let mut attempt = 0;
         loop {
             match call(self.channel()).await {
-                Ok(answer) => return Ok(answer),
+                Ok(response) => return Ok(response),
                 Err(status) => {
                     let error = store_error(&status);
                     attempt += 1;
@@ -140,7 +140,7 @@
     /// Executes a transaction, without retries. See [`Client::commit`] if its outcome has to be known.
     pub async fn txn(&self, request: TxnRequest) -> Result<TxnResponse, Fault> {
         match kv(self.channel()).txn(request).await {
-            Ok(answer) => Ok(answer.into_inner()),
+            Ok(response) => Ok(response.into_inner()),
             Err(status) => {
                 self.advance_endpoint();
                 Err(store_error(&status))
@@ -171,9 +171,9 @@
                         Ok((seconds, String::new()))
                     }
                     Err(status) => Err(status),
-                    Ok(answer) => {
-                        let answer = answer.into_inner();
-                        Ok((answer.ttl, answer.error))
+                    Ok(response) => {
+                        let response = response.into_inner();
+                        Ok((response.ttl, response.error))
                     }
                 }
             })
@@ -201,10 +201,11 @@
     pub async fn keep_alive(&self, id: i64) -> Result<Option<i64>, Fault> {
         self.with_retries(|channel| async move {
             let requests = tokio_stream::iter([LeaseKeepAliveRequest { id }]);
-            let mut answers = LeaseClient::new(channel).lease_keep_alive(requests).await?.into_inner();
-            let answer = answers.message().await?;
-            let answer = answer.ok_or_else(|| Status::unavailable("the stream ended without an answer"))?;
-            Ok(Some(answer.ttl).filter(|ttl| *ttl > 0))
+            let mut responses = LeaseClient::new(channel).lease_keep_alive(requests).await?.into_inner();
+            let response = responses.message().await?;
+            let response =
+                response.ok_or_else(|| Status::unavailable("the stream ended without a response"))?;
+            Ok(Some(response.ttl).filter(|ttl| *ttl > 0))
         })
         .await
     }
--- a/crates/etcd/src/commit.rs
+++ b/crates/etcd/src/commit.rs
@@ -24,13 +24,13 @@
             failure: vec![convert::step(&read(&transaction.witness))],
         };
         let mut last_error = match self.txn(request).await {
-            Ok(answer) => {
-                let revision = answer.header.as_ref().map_or(0, |header| header.revision as u64);
-                if answer.succeeded {
+            Ok(response) => {
+                let revision = response.header.as_ref().map_or(0, |header| header.revision as u64);
+                if response.succeeded {
                     return Ok(Committed::Yes { witness: revision });
                 }
                 return Ok(Committed::No {
-                    witness: witness(&answer.responses).map_or(0, |(revision, _)| revision),
+                    witness: witness(&response.responses).map_or(0, |(revision, _)| revision),
                 });
             }
             // A rejected transaction had no effect, and no copy of it is in flight.
@@ -56,13 +56,13 @@
             success: vec![convert::step(&put(transaction.witness.clone(), value, transaction.lease))],
             failure: vec![convert::step(&read(&transaction.witness))],
         };
-        let answer = self.txn(request).await?;
-        if answer.succeeded {
-            let witness = answer.header.map_or(0, |header| header.revision as u64);
+        let response = self.txn(request).await?;
+        if response.succeeded {
+            let witness = response.header.map_or(0, |header| header.revision as u64);
             return Ok(Committed::No { witness });
         }
         // The transaction or an earlier fence has written the witness. If it is gone, it had been written before.
-        Ok(match witness(&answer.responses) {
+        Ok(match witness(&response.responses) {
             Some((witness, found)) if found == transaction.value => Committed::Yes { witness },
             Some((witness, _)) => Committed::No { witness },
             None => return Err(Fault::Unknown("the witness is gone, its lease with it".to_owned())),
--- a/crates/etcd/src/convert.rs
+++ b/crates/etcd/src/convert.rs
@@ -76,9 +76,9 @@
     fn read(&self, ranges: Vec<Range>) -> BoxFuture<'_, Result<Read, Fault>> {
         Box::pin(async move {
             let success = ranges.into_iter().map(|range| step(&Step::Read(range))).collect();
-            let answer = Client::read(self, TxnRequest { success, ..TxnRequest::default() }).await?;
-            let header = answer.header.unwrap_or_default();
-            let rows = answer.responses.into_iter().map(|response| match response.response {
+            let response = Client::read(self, TxnRequest { success, ..TxnRequest::default() }).await?;
+            let header = response.header.unwrap_or_default();
+            let rows = response.responses.into_iter().map(|op| match op.response {
                 Some(Response::ResponseRange(range)) => range.kvs.into_iter().map(row).collect(),
                 _ => Vec::new(),
             });
@@ -91,11 +91,11 @@
         Box::pin(async move {
             let request =
                 RangeRequest { limit: limit as i64, revision: revision as i64, ..range(&page_range) };
-            let answer = self.range(request).await?;
+            let response = self.range(request).await?;
             // The header has the store's current revision, whichever one was requested.
-            let current = answer.header.as_ref().map_or(0, |header| header.revision as u64);
-            let rows = answer.kvs.into_iter().map(row).collect();
-            Ok(Page { revision: if revision > 0 { revision } else { current }, rows, more: answer.more })
+            let current = response.header.as_ref().map_or(0, |header| header.revision as u64);
+            let rows = response.kvs.into_iter().map(row).collect();
+            Ok(Page { revision: if revision > 0 { revision } else { current }, rows, more: response.more })
         })
     }
 
--- a/crates/etcd/src/watch.rs
+++ b/crates/etcd/src/watch.rs
@@ -19,7 +19,7 @@
     requests: mpsc::Sender<WatchRequest>,
     responses: Streaming<WatchResponse>,
     /// The fragments of the next response received so far, merged.
-    fragments: Option<WatchResponse>,
+    partial: Option<WatchResponse>,
 }
 
 impl Client {
@@ -34,7 +34,7 @@
         // A stream may stay open, so the deadline of a single call bounds only its opening.
         let opening = tokio::time::timeout(self.deadline(), client.watch(ReceiverStream::new(queue)));
         match opening.await {
-            Ok(Ok(answer)) => Ok(Watch { requests, responses: answer.into_inner(), fragments: None }),
+            Ok(Ok(response)) => Ok(Watch { requests, responses: response.into_inner(), partial: None }),
             Ok(Err(status)) => {
                 self.advance_endpoint();
                 Err(store_error(&status))
@@ -52,24 +52,24 @@
     /// their reason, and progress notifications (a header without events) are returned like any other.
     pub async fn next(&mut self) -> Result<Option<WatchResponse>, Fault> {
         loop {
-            let Some(fragment) = self.responses.message().await.map_err(|status| store_error(&status))?
+            let Some(response) = self.responses.message().await.map_err(|status| store_error(&status))?
             else {
                 return Ok(None);
             };
-            let more = fragment.fragment;
-            let whole = match self.fragments.take() {
-                Some(mut fragments) => {
-                    fragments.events.extend(fragment.events);
-                    fragments.header = fragment.header;
-                    fragments
+            let more = response.fragment;
+            let whole = match self.partial.take() {
+                Some(mut partial) => {
+                    partial.events.extend(response.events);
+                    partial.header = response.header;
+                    partial
                 }
-                None => fragment,
+                None => response,
             };
             if whole.events.len() > MAX_EVENTS {
                 return Err(Fault::Refused(format!("a response of more than {MAX_EVENTS} events")));
             }
             if more {
-                self.fragments = Some(whole);
+                self.partial = Some(whole);
                 continue;
             }
             return Ok(Some(WatchResponse { fragment: false, ..whole }));
--- a/crates/list/src/lib.rs
+++ b/crates/list/src/lib.rs
@@ -64,12 +64,12 @@
     pending_read: Option<(i64, BTreeMap<String, Entry<V>>)>,
     changed: bool,
     /// How many entries and events were ignored: of lower revisions, or of retired starts.
-    pub refused: u64,
+    pub ignored: u64,
 }
 
 impl<V: Says> Follower<V> {
     pub fn new(kept: Kept) -> Follower<V> {
-        Follower { kept, entries: BTreeMap::new(), pending_read: None, changed: false, refused: 0 }
+        Follower { kept, entries: BTreeMap::new(), pending_read: None, changed: false, ignored: 0 }
     }
 
     /// The state to save.
@@ -110,7 +110,7 @@
     pub fn read_end(&mut self) {
         let Some((revision, found)) = self.pending_read.take() else { return };
         if revision < self.kept.revision {
-            self.refused += 1;
+            self.ignored += 1;
             return;
         }
         let gone: Vec<String> = self.entries.keys().filter(|id| !found.contains_key(*id)).cloned().collect();
@@ -127,7 +127,7 @@
     /// A key was written or, if `value` is `None`, deleted. Several events may have the same revision.
     pub fn event(&mut self, id: &str, revision: i64, value: Option<V>) {
         if revision < self.kept.revision {
-            self.refused += 1;
+            self.ignored += 1;
             return;
         }
         self.update(id, revision, value);
@@ -137,7 +137,7 @@
     /// A key was written with a value that can't be decoded.
     pub fn unread(&mut self, id: &str, revision: i64) {
         if revision < self.kept.revision {
-            self.refused += 1;
+            self.ignored += 1;
             return;
         }
         if let Some(entry) = self.entries.get_mut(id) {
@@ -165,14 +165,14 @@
     fn update(&mut self, id: &str, revision: i64, value: Option<V>) {
         let known = self.entries.get(id);
         if known.is_some_and(|known| revision < known.revision) {
-            self.refused += 1;
+            self.ignored += 1;
             return;
         }
         let old = known.and_then(|known| known.value.clone());
         let retired = self.kept.retired.get(id).copied();
         let is_retired = |value: &V| retired.is_some_and(|retired| value.boot() <= retired);
         if value.as_ref().is_some_and(is_retired) {
-            self.refused += 1;
+            self.ignored += 1;
             // The key's revision is kept, but without a value.
             self.changed |= old.is_some();
             self.entries.insert(id.to_owned(), Entry { revision, value: None });
--- a/crates/list/tests/follow.rs
+++ b/crates/list/tests/follow.rs
@@ -47,7 +47,7 @@
     follower.event("a", 5, ready(1));
     follower.event("a", 7, ready(2));
     follower.event("a", 5, ready(1));
-    assert_eq!((boots(&follower), follower.refused, follower.next()), (a(2), 1, 8));
+    assert_eq!((boots(&follower), follower.ignored, follower.next()), (a(2), 1, 8));
     follower.take_change();
     follower.event("a", 7, ready(2));
     assert!(!follower.take_change());
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -253,7 +253,7 @@
         |why: &str| Fault::Open { path: path.to_owned(), why: format!("the file is damaged: {why}") };
     match inspected {
         Ok(Err(Fault::Read(why))) => Err(damaged(&why)),
-        Ok(contents) => contents,
+        Ok(result) => result,
         Err(_) => Err(damaged("redb panicked")),
     }
 }
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -2,7 +2,7 @@
 //! them. Sans-I/O: no I/O, no clock and a seeded random generator; the caller passes the current time in.
 //!
 //! [`Replica`] is one replica of the log: election, replication, commit and membership. [`State`] is the state machine: keys
-//! with revisions, bound to leases. [`Node`] joins the two and tracks the requests that wait for an answer.
+//! with revisions, bound to leases. [`Node`] joins the two and tracks the requests that wait for a response.
 //! `docs/design/replication.md` has the reasoning.
 
 mod log;
@@ -13,7 +13,7 @@
 
 pub use log::{Body, Entry, Hash, Log};
 pub use members::{Member, Members};
-pub use node::{Answer, Effect, Node, Request, Token};
+pub use node::{Effect, Node, Request, Response, Token};
 pub use replica::{Action, FeatureToggles, HardState, Message, Output, Replica, Settings};
 pub use state::State;
 
--- a/crates/replica/src/node.rs
+++ b/crates/replica/src/node.rs
@@ -1,4 +1,4 @@
-//! A replica with its state machine, and the requests that wait for an answer.
+//! A replica with its state machine, and the requests that wait for a response.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -14,13 +14,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Request {
     Order(Order),
-    /// A linearizable read: it sees the committed state at some moment between the request and its answer.
+    /// A linearizable read: it sees the committed state at some moment between the request and its response.
     Read(Vec<Range>),
 }
 
-/// The answer to a [`Request`].
+/// The response to a [`Request`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum Response {
     Done(Outcome),
     /// The request had no effect and never will.
     Rejected(RequestError),
@@ -33,9 +33,9 @@
 pub enum Effect {
     /// After an [`Action::Save`] is durable, call [`Node::saved`].
     Action(Action),
-    Answer {
+    Response {
         token: Token,
-        answer: Answer,
+        response: Response,
     },
 }
 
@@ -56,8 +56,8 @@
     /// later than when the holder sent it.
     lease_deadlines: BTreeMap<u64, Time>,
     was_leader: bool,
-    /// Answers to hand out, in order; bounded by the number of pending requests.
-    answers: VecDeque<Effect>,
+    /// Responses to hand out, in order; bounded by the number of pending requests.
+    responses: VecDeque<Effect>,
 }
 
 impl Node {
@@ -70,7 +70,7 @@
             pending_reads: BTreeMap::new(),
             lease_deadlines: BTreeMap::new(),
             was_leader: false,
-            answers: VecDeque::new(),
+            responses: VecDeque::new(),
         }
     }
 
@@ -83,14 +83,15 @@
         self.applied
     }
 
-    /// Submits a request; its [`Effect::Answer`] carries `token`.
+    /// Submits a request; its [`Effect::Response`] carries `token`.
     pub fn request(&mut self, token: Token, request: Request) {
         let term = self.replica.hard_state().term;
         let accepted = match request {
             Request::Order(command) => self.replica.propose(command.write()).map(|index| {
                 // A request still pending at this index lost its entry when the log was truncated.
                 if let Some((_, dropped)) = self.pending_commands.insert(index, (term, token)) {
-                    self.answers.push_back(Effect::Answer { token: dropped, answer: Answer::Unknown });
+                    self.responses
+                        .push_back(Effect::Response { token: dropped, response: Response::Unknown });
                 }
             }),
             Request::Read(ranges) => {
@@ -98,7 +99,7 @@
             }
         };
         if let Err(error) = accepted {
-            self.answers.push_back(Effect::Answer { token, answer: Answer::Rejected(error) });
+            self.responses.push_back(Effect::Response { token, response: Response::Rejected(error) });
         }
     }
 
@@ -138,8 +139,8 @@
     /// Returns the next effect to carry out, or `None` if there is none.
     pub fn poll(&mut self, now: Time) -> Option<Effect> {
         loop {
-            if let Some(answer) = self.answers.pop_front() {
-                return Some(answer);
+            if let Some(response) = self.responses.pop_front() {
+                return Some(response);
             }
             let output = self.replica.poll();
             self.reset_lease_deadlines(now);
@@ -148,20 +149,20 @@
                 Output::Committed { index, entry } => self.apply(now, index, &entry),
                 Output::Read(read_id) => {
                     if let Some((token, ranges)) = self.pending_reads.remove(&read_id) {
-                        let answer = Answer::Done(self.state.read(&ranges));
-                        self.answers.push_back(Effect::Answer { token, answer });
+                        let response = Response::Done(self.state.read(&ranges));
+                        self.responses.push_back(Effect::Response { token, response });
                     }
                 }
                 Output::LeadershipLost => {
                     let commands = std::mem::take(&mut self.pending_commands).into_values();
                     let unknown =
-                        commands.map(|(_, token)| Effect::Answer { token, answer: Answer::Unknown });
-                    self.answers.extend(unknown);
-                    let not_leader = Answer::Rejected(RequestError::NotLeader(None));
+                        commands.map(|(_, token)| Effect::Response { token, response: Response::Unknown });
+                    self.responses.extend(unknown);
+                    let not_leader = Response::Rejected(RequestError::NotLeader(None));
                     let reads = std::mem::take(&mut self.pending_reads).into_values();
                     let rejected =
-                        reads.map(|(token, _)| Effect::Answer { token, answer: not_leader.clone() });
-                    self.answers.extend(rejected);
+                        reads.map(|(token, _)| Effect::Response { token, response: not_leader.clone() });
+                    self.responses.extend(rejected);
                 }
             }
         }
@@ -191,16 +192,15 @@
         if let Some(lease) = lease {
             match self.state.leases.get(&lease) {
                 Some(known) => {
-                    let deadline = now + Time::from(known.seconds) * SECOND;
-                    self.lease_deadlines.insert(lease, deadline);
+                    _ = self.lease_deadlines.insert(lease, now + Time::from(known.seconds) * SECOND)
                 }
                 None => _ = self.lease_deadlines.remove(&lease),
             }
         }
         if let Some((term, token)) = self.pending_commands.remove(&index) {
             // An entry of another term took its place: this one was dropped before it was committed.
-            let answer = if term == entry.term { Answer::Done(outcome) } else { Answer::Unknown };
-            self.answers.push_back(Effect::Answer { token, answer });
+            let response = if term == entry.term { Response::Done(outcome) } else { Response::Unknown };
+            self.responses.push_back(Effect::Response { token, response });
         }
     }
 }
--- a/crates/replica/src/replica.rs
+++ b/crates/replica/src/replica.rs
@@ -275,7 +275,7 @@
                 self.handle_vote_request(now, from, term, last, pre_vote)
             }
             Message::VoteResponse { granted, pre_vote, .. } => {
-                // A granted pre-vote carries the term asked about, which nobody has entered yet.
+                // A granted pre-vote carries the term asked about, which the responder has not entered.
                 if term > self.hard_state.term && !pre_vote {
                     self.become_follower(now, term);
                 }
--- a/crates/replica/tests/common/mod.rs
+++ b/crates/replica/tests/common/mod.rs
@@ -6,8 +6,8 @@
 
 use ravenspar_replica::state::{Compare, CompareOp, Did, Done, Operand, Order, Range, Step};
 use ravenspar_replica::{
-    Action, Answer, Effect, Entry, FeatureToggles, HardState, Hash, Id, Index, Log, Member, Message, Node,
-    Replica, Request, Settings, State, Time,
+    Action, Effect, Entry, FeatureToggles, HardState, Hash, Id, Index, Log, Member, Message, Node, Replica,
+    Request, Response, Settings, State, Time,
 };
 
 const FLEET: u64 = 77;
@@ -37,7 +37,7 @@
     MessageArrives { to: usize, from: Id, fleet: u64, message: Message },
 }
 
-/// A client's write or read whose answer is checked.
+/// A client's write or read whose response is checked.
 #[derive(Clone, Debug)]
 struct PendingCall {
     key: String,
@@ -214,10 +214,10 @@
         self.poll_all(n);
     }
 
-    /// Checks an answer against what had been acknowledged before the request.
-    fn handle_answer(&mut self, token: u64, answer: Answer) {
+    /// Checks a response against what had been acknowledged before the request.
+    fn handle_response(&mut self, token: u64, response: Response) {
         let Some(call) = self.calls.remove(&token) else { return };
-        let Answer::Done(outcome) = answer else { return };
+        let Response::Done(outcome) = response else { return };
         let Ok(Done::Did { steps, .. }) = outcome.result else {
             self.violation.get_or_insert(format!("{call:?} was rejected"));
             return;
@@ -227,7 +227,7 @@
             _ => None,
         });
         let version = rows.and_then(|rows| rows.first()).map_or(0, |row| row.version);
-        // A version counts writes: an answer shows at least the writes acknowledged before the request, and a write one more.
+        // A version counts writes: a response shows at least the writes acknowledged before the request, and a write one more.
         let expected = call.acked_version + u64::from(!call.is_read);
         if version < expected {
             self.violation.get_or_insert(format!(
@@ -266,7 +266,7 @@
                     let done = now + self.rng.i64(5..60);
                     self.processes[n].saving = Some((done, disk));
                 }
-                Effect::Answer { token, answer } => self.handle_answer(token, answer),
+                Effect::Response { token, response } => self.handle_response(token, response),
                 Effect::Action(Action::Diverged { index }) => {
                     self.violation.get_or_insert(format!("replica {n} diverged at {index}"));
                 }
