--- a/crates/etcd/src/words.rs
+++ b/crates/etcd/src/convert.rs
@@ -1,7 +1,9 @@
-//! What is asked of a store, in the API's words, and its answers in ours.
+//! Converts between the store's interface and etcd's messages.
 
 use futures_util::future::BoxFuture;
-use ravenspar_store::{By, Committed, Compare, Fault, Guarded, How, Page, Range, Read, Row, Step, Store};
+use ravenspar_store::{
+    Committed, Compare, CompareOp, Fault, Guarded, Operand, Page, Range, Read, Row, Step, Store,
+};
 
 use crate::api;
 use crate::api::compare::{CompareResult, CompareTarget, TargetUnion};
@@ -12,17 +14,17 @@
 
 pub(crate) fn compare(compare: &Compare) -> api::Compare {
     let result = match compare.how {
-        How::Equal => CompareResult::Equal,
-        How::Greater => CompareResult::Greater,
-        How::Less => CompareResult::Less,
-        How::NotEqual => CompareResult::NotEqual,
+        CompareOp::Equal => CompareResult::Equal,
+        CompareOp::Greater => CompareResult::Greater,
+        CompareOp::Less => CompareResult::Less,
+        CompareOp::NotEqual => CompareResult::NotEqual,
     };
     let (target, union) = match &compare.by {
-        By::Version(version) => (CompareTarget::Version, TargetUnion::Version(*version as i64)),
-        By::Created(revision) => (CompareTarget::Create, TargetUnion::CreateRevision(*revision as i64)),
-        By::Modified(revision) => (CompareTarget::Mod, TargetUnion::ModRevision(*revision as i64)),
-        By::Lease(lease) => (CompareTarget::Lease, TargetUnion::Lease(*lease as i64)),
-        By::Value(value) => (CompareTarget::Value, TargetUnion::Value(value.clone())),
+        Operand::Version(version) => (CompareTarget::Version, TargetUnion::Version(*version as i64)),
+        Operand::Created(revision) => (CompareTarget::Create, TargetUnion::CreateRevision(*revision as i64)),
+        Operand::Modified(revision) => (CompareTarget::Mod, TargetUnion::ModRevision(*revision as i64)),
+        Operand::Lease(lease) => (CompareTarget::Lease, TargetUnion::Lease(*lease as i64)),
+        Operand::Value(value) => (CompareTarget::Value, TargetUnion::Value(value.clone())),
     };
     api::Compare {
         result: result as i32,
@@ -74,9 +76,9 @@
     fn read(&self, ranges: Vec<Range>) -> BoxFuture<'_, Result<Read, Fault>> {
         Box::pin(async move {
             let success = ranges.into_iter().map(|range| step(&Step::Read(range))).collect();
-            let answer = Client::read(self, TxnRequest { success, ..TxnRequest::default() }).await?;
-            let header = answer.header.unwrap_or_default();
-            let rows = answer.responses.into_iter().map(|response| match response.response {
+            let response = Client::read(self, TxnRequest { success, ..TxnRequest::default() }).await?;
+            let header = response.header.unwrap_or_default();
+            let rows = response.responses.into_iter().map(|op| match op.response {
                 Some(Response::ResponseRange(range)) => range.kvs.into_iter().map(row).collect(),
                 _ => Vec::new(),
             });
@@ -85,19 +87,20 @@
         })
     }
 
-    fn page(&self, of: Range, limit: usize, revision: u64) -> BoxFuture<'_, Result<Page, Fault>> {
+    fn page(&self, page_range: Range, limit: usize, revision: u64) -> BoxFuture<'_, Result<Page, Fault>> {
         Box::pin(async move {
-            let request = RangeRequest { limit: limit as i64, revision: revision as i64, ..range(&of) };
-            let answer = self.range(request).await?;
-            // The header has the store's present revision, whatever was asked for.
-            let present = answer.header.as_ref().map_or(0, |header| header.revision as u64);
-            let rows = answer.kvs.into_iter().map(row).collect();
-            Ok(Page { revision: if revision > 0 { revision } else { present }, rows, more: answer.more })
+            let request =
+                RangeRequest { limit: limit as i64, revision: revision as i64, ..range(&page_range) };
+            let response = self.range(request).await?;
+            // The header has the store's current revision, whichever one was requested.
+            let current = response.header.as_ref().map_or(0, |header| header.revision as u64);
+            let rows = response.kvs.into_iter().map(row).collect();
+            Ok(Page { revision: if revision > 0 { revision } else { current }, rows, more: response.more })
         })
     }
 
-    fn commit(&self, guarded: Guarded, fences: u32) -> BoxFuture<'_, Result<Committed, Fault>> {
-        Box::pin(async move { Client::commit(self, &guarded, fences).await })
+    fn commit(&self, transaction: Guarded, fences: u32) -> BoxFuture<'_, Result<Committed, Fault>> {
+        Box::pin(async move { Client::commit(self, &transaction, fences).await })
     }
 
     fn grant(&self, lease: u64, seconds: u32) -> BoxFuture<'_, Result<u32, Fault>> {
