--- a/crates/ravenspar/src/shared/mod.rs
+++ b/crates/ravenspar/src/shared/mod.rs
@@ -1,11 +1,12 @@
-//! A steward among others: its membership at the shared store, and the steps by which slices change hands.
+//! Sharing of slices between stewards: a steward's membership in the shared store, and the transactions by which slices are
+//! assigned to stewards.
 
-mod life;
 mod rows;
+mod session;
 mod store;
 
-pub use life::{Event, From, Joining, Life, EARLY};
-pub use rows::{read_life, write_life, Keys, Member};
+pub use rows::{decode_incarnation, encode_incarnation, Keys, Member};
+pub use session::{Event, From, Joining, Life, EARLY};
 pub use store::{backward, record, snapshot, with_duties, Snapshot};
 
 #[cfg(test)]
--- a/crates/ravenspar/src/shared/tests.rs
+++ b/crates/ravenspar/src/shared/tests.rs
@@ -1,5 +1,5 @@
-//! What is concluded from a member's key that is gone: the transactions at the store look there themselves, whatever the
-//! steward that asks for them, or its view of the fleet, has seen.
+//! Actions that rely on a member's key being absent: the transactions check that at the store themselves, so that a steward
+//! with stale knowledge, or a wrong view of the fleet, does no harm.
 
 use std::sync::Arc;
 
@@ -8,75 +8,81 @@
 use ravenspar_standin::store::Memory;
 use ravenspar_store::Shared;
 
-use super::store::{Hand, Stop};
+use super::store::{MemberWriter, Stop};
 use super::*;
 
-/// The lease of each life, in seconds: far longer than a test takes.
+/// Lease of each incarnation in seconds, far longer than a test takes.
 const LEASE: u32 = 600;
-/// Of a slice that nobody had yet.
-const NEVER: u64 = 0;
+/// The term of a slice that was never assigned.
+const UNASSIGNED: u64 = 0;
 
-async fn join(store: &Shared, life: Life) -> Hand {
-    store.grant(life, LEASE).await.expect("a lease");
+async fn join(store: &Shared, incarnation: Life) -> MemberWriter {
+    store.grant(incarnation, LEASE).await.expect("the lease is granted");
     let address = "127.0.0.1:9".to_owned();
-    let member = Member { name: format!("steward-{life}"), address, leaving: false, resting: false };
-    Hand::join(store.clone(), Keys::new("/fleet/"), life, &member).await.expect("a member").0
+    let member = Member { name: format!("steward-{incarnation}"), address, leaving: false, resting: false };
+    MemberWriter::join(store.clone(), Keys::new("/fleet/"), incarnation, &member)
+        .await
+        .expect("the member joins")
+        .0
 }
 
-/// Who is in charge of the first slice.
-async fn in_charge(store: &Shared) -> Option<Life> {
-    let said = snapshot(&**store, &Keys::new("/fleet/"), 0).await.expect("an answer");
-    said.charges.iter().find(|(slice, ..)| *slice == 0).map(|(_, life, _)| *life)
+/// Returns the steward that the first slice is assigned to.
+async fn assigned_steward(store: &Shared) -> Option<Life> {
+    let snapshot = snapshot(&**store, &Keys::new("/fleet/"), 0).await.expect("the store answers");
+    snapshot.charges.iter().find(|(slice, ..)| *slice == 0).map(|(_, incarnation, _)| *incarnation)
 }
 
 fn row(term: u64) -> SliceRow {
     SliceRow { slice: 0, owner: Some("a".to_owned()), weight: 1, mark: 1, term, boot: 0 }
 }
 
-/// The view showed it gone, or a look at the store missed it.
+/// Guards against a takeover from a live steward that the view showed as gone or that a poll of the store missed.
 #[tokio::test]
-async fn slices_are_taken_only_from_a_steward_whose_membership_is_over_at_the_store() {
+async fn slices_are_taken_only_from_a_steward_whose_membership_has_ended_at_the_store() {
     let store: Shared = Arc::new(Memory::default());
-    let (mut one, mut two) = (join(&store, 1).await, join(&store, 2).await);
-    let term = one.take(&[(0, NEVER)], &[]).await.expect("nobody has it");
-    assert_eq!(two.take(&[(0, term)], &[1]).await, Err(Stop::Not), "it is a member");
-    assert_eq!(in_charge(&store).await, Some(1));
-    store.revoke(1).await.expect("it ends");
-    assert_eq!(two.take(&[(0, term - 1)], &[1]).await, Err(Stop::Not), "another term");
-    assert!(two.take(&[(0, term)], &[1]).await.is_ok());
-    assert_eq!(in_charge(&store).await, Some(2));
+    let (mut first, mut second) = (join(&store, 1).await, join(&store, 2).await);
+    let term = first.take(&[(0, UNASSIGNED)], &[]).await.expect("the slice is unassigned");
+    assert_eq!(second.take(&[(0, term)], &[1]).await, Err(Stop::Not), "1 is still a member");
+    assert_eq!(assigned_steward(&store).await, Some(1));
+    store.revoke(1).await.expect("the lease is revoked");
+    assert_eq!(second.take(&[(0, term - 1)], &[1]).await, Err(Stop::Not), "the term is outdated");
+    assert!(second.take(&[(0, term)], &[1]).await.is_ok());
+    assert_eq!(assigned_steward(&store).await, Some(2));
 }
 
 #[tokio::test]
-async fn two_that_take_a_slice_for_nobodys_do_not_both_get_it() {
+async fn only_one_of_two_concurrent_takes_of_an_unassigned_slice_succeeds() {
     let store: Shared = Arc::new(Memory::default());
-    let (mut one, mut two) = (join(&store, 1).await, join(&store, 2).await);
-    assert!(one.take(&[(0, NEVER)], &[]).await.is_ok());
-    assert_eq!(two.take(&[(0, NEVER)], &[]).await, Err(Stop::Not));
-    assert_eq!(in_charge(&store).await, Some(1));
+    let (mut first, mut second) = (join(&store, 1).await, join(&store, 2).await);
+    assert!(first.take(&[(0, UNASSIGNED)], &[]).await.is_ok());
+    assert_eq!(second.take(&[(0, UNASSIGNED)], &[]).await, Err(Stop::Not));
+    assert_eq!(assigned_steward(&store).await, Some(1));
 }
 
 #[tokio::test]
-async fn slices_are_given_only_to_a_member_that_is_there() {
+async fn slices_are_handed_over_only_to_a_current_member() {
     let store: Shared = Arc::new(Memory::default());
-    let (mut one, _two) = (join(&store, 1).await, join(&store, 2).await);
-    let term = one.take(&[(0, NEVER)], &[]).await.expect("nobody has it");
-    store.revoke(2).await.expect("it ends");
-    assert_eq!(one.give(&[(0, term)], 2).await, Err(Stop::Not));
-    assert_eq!(in_charge(&store).await, Some(1));
+    let (mut first, _second) = (join(&store, 1).await, join(&store, 2).await);
+    let term = first.take(&[(0, UNASSIGNED)], &[]).await.expect("the slice is unassigned");
+    store.revoke(2).await.expect("the lease is revoked");
+    assert_eq!(first.hand_over(&[(0, term)], 2).await, Err(Stop::Not));
+    assert_eq!(assigned_steward(&store).await, Some(1));
 }
 
-/// It stood still, and thinks itself in charge.
+/// Guards against a steward that was paused and still takes the slice for its own.
 #[tokio::test]
-async fn a_steward_that_was_taken_for_gone_writes_nothing_more() {
+async fn a_steward_that_lost_a_slice_or_its_membership_writes_no_more() {
     let store: Shared = Arc::new(Memory::default());
-    let (mut one, mut two) = (join(&store, 1).await, join(&store, 2).await);
-    let term = one.take(&[(0, NEVER)], &[]).await.expect("nobody has it");
-    one.lines(&[row(term)]).await.expect("in charge");
-    let next = one.give(&[(0, term)], 2).await.expect("given");
-    assert_eq!(one.lines(&[row(term)]).await, Err(Stop::Not), "the charge has another term");
-    two.lines(&[row(next)]).await.expect("in charge");
-    store.revoke(1).await.expect("it ends");
-    assert!(matches!(one.lines(&[]).await, Ok(())));
-    assert!(matches!(one.take(&[(1, NEVER)], &[]).await, Err(Stop::Over(_))), "no member any more");
+    let (mut first, mut second) = (join(&store, 1).await, join(&store, 2).await);
+    let term = first.take(&[(0, UNASSIGNED)], &[]).await.expect("the slice is unassigned");
+    first.write_records(&[row(term)]).await.expect("the slice is assigned to it");
+    let next = first.hand_over(&[(0, term)], 2).await.expect("the slice is handed over");
+    assert_eq!(first.write_records(&[row(term)]).await, Err(Stop::Not), "the assignment has another term");
+    second.write_records(&[row(next)]).await.expect("the slice is assigned to it");
+    store.revoke(1).await.expect("the lease is revoked");
+    assert!(matches!(first.write_records(&[]).await, Ok(())));
+    assert!(
+        matches!(first.take(&[(1, UNASSIGNED)], &[]).await, Err(Stop::Over(_))),
+        "the membership has ended"
+    );
 }
--- a/crates/ravenspar/src/work/agents.rs
+++ b/crates/ravenspar/src/work/agents.rs
@@ -1,4 +1,5 @@
-//! The agents of sites: what they send, and what this steward does at the store and answers for them.
+//! Communication with the agents of sites: handles their messages, and makes the calls to the store and the replies that
+//! follow from them.
 
 use ravenspar_jobs::{Act, Hello};
 use ravenspar_protocol::VERSION;
@@ -8,81 +9,86 @@
 
 use crate::shared::Keys;
 
-use super::executors::Ask;
+use super::executors::AgentRequest;
 use super::frames::Message;
 use super::{frames, rows, Event, Task};
 
 impl Task {
+    /// Handles a message that arrived on an agent's stream.
     pub(super) fn handle_message(&mut self, stream: u64, message: Message) {
-        self.desk.heard(self.with.clock.now(), stream);
+        self.agent_sessions.heard(self.context.clock.now(), stream);
         match message {
             Message::Ping(sent) => self.write(stream, frames::echo(sent)),
             Message::Site { version, .. } if version != VERSION => self.close(stream, "another version"),
             Message::Site { hello, before, .. } if hello.life > 0 && hello.life <= i64::MAX as u64 => {
-                self.desk.hello(self.with.clock.now(), stream, hello, before);
+                self.agent_sessions.hello(self.context.clock.now(), stream, hello, before);
             }
-            Message::Site { .. } => self.close(stream, "a life from 1 to 2^63 - 1 is expected"),
+            Message::Site { .. } => self.close(stream, "expected an incarnation from 1 to 2^63 - 1"),
             Message::Keep { sent, held_jobs } => {
-                self.desk.keep(stream, sent, &held_jobs);
+                self.agent_sessions.keep(stream, sent, &held_jobs);
             }
             Message::Outcome { job, .. } if !rows::is_name(&job) => {
-                self.close(stream, "no job has such an id")
+                self.close(stream, "the message names an invalid job id")
             }
             Message::Outcome { job, token, ended } => {
-                if self.desk.outcome(stream, &job, token, ended)
-                    && self.agents.try_send(Ask::Line(job.clone())).is_err()
+                if self.agent_sessions.outcome(stream, &job, token, ended)
+                    && self.agent_requests.try_send(AgentRequest::ReadLine(job.clone())).is_err()
                 {
-                    self.desk.settled(&job, false);
+                    self.agent_sessions.settled(&job, false);
                 }
             }
             Message::Used(uses) => self.handle_uses(stream, uses),
             Message::Holds(term) => {
-                tracing::warn!(term, "an agent has heard of a higher term");
-                self.desk.outdated();
-                self.sooner.notify_one();
+                tracing::warn!(term, "an agent knows a higher term of the duty; reading the store again");
+                self.agent_sessions.outdated();
+                self.poll_now.notify_one();
             }
-            Message::Over(life) => self.call(move |store, keys| end(store, keys, vec![life])),
-            Message::Other => self.close(stream, "a kind of frame that no agent sends"),
+            Message::Over(incarnation) => {
+                self.spawn_call(move |store, keys| revoke_leases(store, keys, vec![incarnation]))
+            }
+            Message::Unknown => self.close(stream, "a kind of frame that no agent sends"),
         }
     }
 
+    /// Queues a frame on an agent's stream, if it is still open.
     pub(super) fn write(&mut self, stream: u64, body: bytes::Bytes) {
-        let Some(to) = self.streams.get(&stream) else { return };
-        // An agent that takes nothing in is broken off; what its lines say is told on its next stream.
-        if !to.write(body) {
+        let Some(agent_stream) = self.streams.get(&stream) else { return };
+        // An agent that doesn't read is disconnected; its jobs' state is sent again on its next stream.
+        if !agent_stream.write(body) {
             self.close(stream, "it takes nothing in");
         }
     }
 
-    /// Begins a call at the store on behalf of an agent; left out where too many are under way, as agents ask again.
-    pub(super) fn call<F>(&mut self, call: impl FnOnce(Shared, Keys) -> F)
+    /// Starts a call to the store on behalf of an agent; dropped if too many are in flight, as agents ask again.
+    pub(super) fn spawn_call<F>(&mut self, call: impl FnOnce(Shared, Keys) -> F)
     where
         F: std::future::Future<Output = Option<Event>> + Send + 'static,
     {
-        let Ok(permit) = self.calls.clone().try_acquire_owned() else { return };
-        let call = call(self.with.store.clone(), self.with.keys.clone());
+        let Ok(call_permit) = self.call_permits.clone().try_acquire_owned() else { return };
+        let call = call(self.context.store.clone(), self.context.keys.clone());
         let event_sender = self.event_sender.clone();
         tokio::spawn(async move {
             let event = call.await;
-            drop(permit);
+            drop(call_permit);
             if let Some(event) = event {
                 let _ = event_sender.send(event).await;
             }
         });
     }
 
-    pub(super) fn act(&mut self) {
-        let seconds = self.with.settings.lease;
-        while let Some(act) = self.desk.poll() {
-            match act {
+    /// Carries out the actions that the agents' sessions ask for.
+    pub(super) fn run_actions(&mut self) {
+        let seconds = self.context.settings.lease;
+        while let Some(action) = self.agent_sessions.poll() {
+            match action {
                 Act::Register { stream, site } => {
-                    let witness = self.with.life;
-                    self.call(move |store, keys| register(store, keys, stream, site, seconds, witness));
+                    let steward = self.context.incarnation;
+                    self.spawn_call(move |store, keys| register(store, keys, stream, site, seconds, steward));
                 }
-                Act::End { lives } => self.call(move |store, keys| end(store, keys, lives)),
-                Act::Renew { stream, life, sent } => self.call(move |store, _| async move {
+                Act::End { lives } => self.spawn_call(move |store, keys| revoke_leases(store, keys, lives)),
+                Act::Renew { stream, life, sent } => self.spawn_call(move |store, _| async move {
                     let held = store.renew(life).await.ok().map(|seconds| seconds.is_some());
-                    Some(Event::Renewed { stream, life, sent, held })
+                    Some(Event::Renewed { stream, incarnation: life, sent, held })
                 }),
                 Act::Kept { stream, life, sent } => {
                     let lease = u64::from(seconds) * SECOND as u64;
@@ -90,19 +96,25 @@
                 }
                 Act::Over { stream, life } => self.write(stream, frames::over(life)),
                 Act::Give { stream, term, life, job, token } => {
-                    // One that finds no room is given again with the agent's next renewal.
-                    let _ = self.agents.try_send(Ask::Spec { stream, term, life, job, token });
+                    // Dropped if the queue is full: the job is assigned again with the agent's next renewal.
+                    let _ = self.agent_requests.try_send(AgentRequest::ReadSpec {
+                        stream,
+                        term,
+                        incarnation: life,
+                        job,
+                        token,
+                    });
                 }
                 Act::Stop { stream, term, job, token } => {
                     self.write(stream, frames::stop(term, &job, token));
                 }
                 Act::Settle { job, seen, line, token, ended } => {
                     if self
-                        .agents
-                        .try_send(Ask::Settle { job: job.clone(), seen, line, token, ended })
+                        .agent_requests
+                        .try_send(AgentRequest::Settle { job: job.clone(), seen, line, token, ended })
                         .is_err()
                     {
-                        self.desk.settled(&job, false);
+                        self.agent_sessions.settled(&job, false);
                     }
                 }
                 Act::Verdict { stream, job, token, refused } => {
@@ -114,7 +126,7 @@
     }
 }
 
-/// Makes a site's lease and key. Another steward may have been quicker: then both are there.
+/// Creates a site's lease and key, unless another steward has done so.
 async fn register(
     store: Shared,
     keys: Keys,
@@ -123,24 +135,24 @@
     seconds: u32,
     steward: Life,
 ) -> Option<Event> {
-    let Hello { life, boot, room, name } = site;
-    // Refused where it is there already.
-    let _ = store.grant(life, seconds).await;
-    // Its own witness, bound to the site's life: nothing of a site is written by a steward's membership.
-    let witness = keys.work_witness(life, &format!("{steward:016x}"));
-    let row = rows::write(&rows::SiteRow { name, room, boot });
-    let mut hand = Hand::new(store, life, witness);
-    let key = keys.site(life);
-    let put = vec![ravenspar_store::put(key.clone(), row, life)];
-    let _ = hand.commit(vec![ravenspar_store::at(key, 0)], put).await;
-    Some(Event::Registered { stream, life })
+    let Hello { life: incarnation, boot, room, name } = site;
+    // Refused if the lease exists already.
+    let _ = store.grant(incarnation, seconds).await;
+    // The witness is bound to the site's lease, as a site's key doesn't depend on a steward's membership.
+    let witness = keys.work_witness(incarnation, &format!("{steward:016x}"));
+    let row = rows::encode(&rows::SiteRecord { name, room, boot });
+    let mut writer = Hand::new(store, incarnation, witness);
+    let key = keys.site(incarnation);
+    let put = vec![ravenspar_store::put(key.clone(), row, incarnation)];
+    let _ = writer.commit(vec![ravenspar_store::at(key, 0)], put).await;
+    Some(Event::Registered { stream, incarnation })
 }
 
-/// Ends lives of sites that are over by their own word.
-async fn end(store: Shared, _keys: Keys, lives: Vec<Life>) -> Option<Event> {
-    for life in lives {
-        // It runs out by itself otherwise.
-        let _ = store.revoke(life).await;
+/// Revokes the leases of sites' incarnations that have reported their end.
+async fn revoke_leases(store: Shared, _keys: Keys, incarnations: Vec<Life>) -> Option<Event> {
+    for incarnation in incarnations {
+        // If this fails, the lease expires by itself.
+        let _ = store.revoke(incarnation).await;
     }
     None
 }
--- a/crates/ravenspar/src/work/executors.rs
+++ b/crates/ravenspar/src/work/executors.rs
@@ -1,5 +1,5 @@
-//! The tasks that write and read at the store for the work of one life. Each owns its store hand, takes orders from
-//! a bounded queue, and sends an event with the outcome of each.
+//! The tasks that access the store for the fleet work of one incarnation. Each has its own fenced writer, takes commands
+//! from a bounded queue, and sends an event with the outcome of each.
 
 use ravenspar_debt::{Fact, Fold, Key, UseRow};
 use ravenspar_duty::{Duty, Step, Warrant};
@@ -8,175 +8,174 @@
 use ravenspar_store::{at, delete, put, there, Compare, Hand, Range, Shared, Stop};
 use tokio::sync::mpsc;
 
-use super::rows::{self, OutcomeRow, Reach};
+use super::rows::{self, OutcomeRecord, Reachability};
 use super::Event;
 use crate::halt::{Halt, Point};
-use crate::shared::{write_life, Keys};
+use crate::shared::{encode_incarnation, Keys};
 use crate::watched::watched;
 
-/// Orders that wait for an executor: each of its callers has one or a few under way.
-const ORDERS: usize = 64;
+/// Capacity of the duty executor's queue: each caller has only a few commands in flight.
+const QUEUE_CAPACITY: usize = 64;
 
-/// What the executor for duties is asked for: claims, what is done by duties, and what the life reports of itself.
-pub enum Order {
-    Step {
-        step: Step,
-        name: &'static str,
-    },
-    /// Lines written by the owner of the duty of jobs.
-    Lines {
-        warrant: Warrant,
-        writes: Vec<Write>,
-    },
-    /// A fold by the owner of the duty of debts.
-    Fold {
-        warrant: Warrant,
-        fold: Fold,
-    },
-    Reach(Reach),
+/// Commands to the executor for duties.
+pub enum DutyCommand {
+    /// Claim a duty or hand it over.
+    Step { step: Step, name: &'static str },
+    /// Write job lines as the leader of the duty of jobs.
+    Lines { permit: Warrant, writes: Vec<Write> },
+    /// Write a fold as the leader of the duty of debts.
+    Fold { permit: Warrant, fold: Fold },
+    /// Write what this steward reports of itself.
+    Reachability(Reachability),
 }
 
+/// Executes commands one after the other.
 pub struct DutyExecutor {
-    pub hand: Hand,
+    pub writer: Hand,
     pub keys: Keys,
-    pub life: u64,
+    pub incarnation: u64,
     pub clock: Clock,
-    pub halt: Option<Halt>,
-    /// The names of the duties.
-    pub names: &'static [&'static str],
+    pub failpoint: Option<Halt>,
+    /// The names of the duties, indexed by [`Duty`].
+    pub duty_names: &'static [&'static str],
     pub events: mpsc::Sender<Event>,
 }
 
 impl DutyExecutor {
-    pub fn start(mut self) -> (mpsc::Sender<Order>, tokio::task::AbortHandle) {
-        let (orders, mut queue) = mpsc::channel(ORDERS);
+    pub fn start(mut self) -> (mpsc::Sender<DutyCommand>, tokio::task::AbortHandle) {
+        let (commands, mut queue) = mpsc::channel(QUEUE_CAPACITY);
         let events = self.events.clone();
         let task = async move {
-            while let Some(order) = queue.recv().await {
-                let event = self.carry_out(order).await;
+            while let Some(command) = queue.recv().await {
+                let event = self.execute(command).await;
                 if self.events.send(event).await.is_err() {
                     return;
                 }
             }
         };
-        (orders, watched("the executor for duties", task, events, Event::Over))
+        (commands, watched("the executor for duties", task, events, Event::Terminated))
     }
 
-    async fn carry_out(&mut self, order: Order) -> Event {
-        match order {
-            Order::Step { step, name } => {
+    async fn execute(&mut self, command: DutyCommand) -> Event {
+        match command {
+            DutyCommand::Step { step, name } => {
                 let key = self.keys.duty(name);
-                Halt::meet(&mut self.halt, Point::Claim);
-                let done = match step {
+                Halt::meet(&mut self.failpoint, Point::Claim);
+                let committed = match step {
                     Step::Claim { .. } => {
-                        let then = vec![put(key.clone(), write_life(self.life), self.life)];
-                        self.hand.commit(vec![at(key, 0)], then).await
+                        let then =
+                            vec![put(key.clone(), encode_incarnation(self.incarnation), self.incarnation)];
+                        self.writer.commit(vec![at(key, 0)], then).await
                     }
                     Step::Give { term, to, .. } => {
                         let compare = vec![at(key.clone(), term), there(self.keys.member(to))];
-                        self.hand.commit(compare, vec![put(key, write_life(to), to)]).await
+                        self.writer.commit(compare, vec![put(key, encode_incarnation(to), to)]).await
                     }
                 };
-                Halt::meet(&mut self.halt, Point::Claimed);
-                ended(done, |term| Event::Stepped { step, term })
+                Halt::meet(&mut self.failpoint, Point::Claimed);
+                commit_event(committed, |term| Event::DutyStepDone { step, term })
             }
-            Order::Lines { warrant, writes } => {
+            DutyCommand::Lines { permit, writes } => {
                 let mut compare = Vec::new();
-                let mut sites: Vec<Compare> = writes
+                let mut site_conditions: Vec<Compare> = writes
                     .iter()
                     .flat_map(|write| {
-                        let there = write.there.map(|site| there(self.keys.site(site)));
-                        let gone = write.gone.map(|site| at(self.keys.site(site), 0));
-                        there.into_iter().chain(gone)
+                        let present = write.there.map(|site| there(self.keys.site(site)));
+                        let absent = write.gone.map(|site| at(self.keys.site(site), 0));
+                        present.into_iter().chain(absent)
                     })
                     .collect();
-                sites.sort_by(|a, b| a.key.cmp(&b.key));
-                sites.dedup();
-                compare.extend(sites);
+                site_conditions.sort_by(|a, b| a.key.cmp(&b.key));
+                site_conditions.dedup();
+                compare.extend(site_conditions);
                 let mut then = Vec::new();
-                for Write { job, seen, line, delete: gone, .. } in &writes {
+                for Write { job, seen, line, delete: is_deletion, .. } in &writes {
                     compare.push(at(self.keys.line(job), *seen));
-                    if *gone {
+                    if *is_deletion {
                         then.extend([delete(self.keys.line(job)), delete(self.keys.outcome(job))]);
                         continue;
                     }
-                    then.push(put(self.keys.line(job), rows::write(line), 0));
+                    then.push(put(self.keys.line(job), rows::encode(line), 0));
                     let ended = match line.state {
                         State::Parked => "parked",
                         State::Cancelled => "cancelled",
                         _ => continue,
                     };
-                    let row = OutcomeRow { ended: ended.to_owned(), token: line.last, why: line.why.clone() };
-                    then.push(put(self.keys.outcome(job), rows::write(&row), 0));
+                    let row =
+                        OutcomeRecord { ended: ended.to_owned(), token: line.last, why: line.why.clone() };
+                    then.push(put(self.keys.outcome(job), rows::encode(&row), 0));
                 }
-                let done = self.by_duty(warrant, compare, then).await;
-                ended(done, |revision| Event::Wrote { writes, revision })
+                let committed = self.commit_for_duty(permit, compare, then).await;
+                commit_event(committed, |revision| Event::LinesWritten { writes, revision })
             }
-            Order::Fold { warrant, fold } => {
-                // The row's revision says that no other fold came between, so that the sums are as they were known.
+            DutyCommand::Fold { permit, fold } => {
+                // The unchanged revision of the ranking proves that there was no other fold, so that the known sums are current.
                 let mut compare = vec![at(self.keys.ranking(), fold.seen)];
-                let mut then = vec![put(self.keys.ranking(), rows::write(&fold.epoch), 0)];
+                let mut then = vec![put(self.keys.ranking(), rows::encode(&fold.epoch), 0)];
                 for ((token, job), seen, row) in &fold.uses {
                     compare.push(at(self.keys.use_of(*token, job), *seen));
-                    then.push(put(self.keys.use_of(*token, job), rows::write(row), 0));
+                    then.push(put(self.keys.use_of(*token, job), rows::encode(row), 0));
                 }
                 then.extend(fold.gone.iter().map(|(token, job)| delete(self.keys.use_of(*token, job))));
                 for (kind, sums) in [('u', &fold.sums.users), ('g', &fold.sums.groups)] {
                     then.extend(
-                        sums.iter().map(|(name, sum)| put(self.keys.sum(kind, name), rows::write(sum), 0)),
+                        sums.iter().map(|(name, sum)| put(self.keys.sum(kind, name), rows::encode(sum), 0)),
                     );
                 }
-                let done = self.by_duty(warrant, compare, then).await;
-                ended(done, |revision| Event::Folded { fold, revision })
+                let committed = self.commit_for_duty(permit, compare, then).await;
+                commit_event(committed, |revision| Event::Folded { fold, revision })
             }
-            Order::Reach(reach) => {
-                let key = self.keys.reach(self.life);
-                let done = self.hand.commit(Vec::new(), vec![put(key, rows::write(&reach), self.life)]).await;
-                ended(done, |_| Event::Reached)
+            DutyCommand::Reachability(reachability) => {
+                let key = self.keys.reach(self.incarnation);
+                let then = vec![put(key, rows::encode(&reachability), self.incarnation)];
+                let committed = self.writer.commit(Vec::new(), then).await;
+                commit_event(committed, |_| Event::ReachabilityWritten)
             }
         }
     }
 
-    /// The one way by which anything is done at the store by a duty: the warrant is looked at right before it leaves, and
-    /// the transaction compares the claim with the warrant's term, and the life's witness.
-    async fn by_duty(
+    /// Commits a transaction on behalf of a duty; all of a duty's effects on the store go through here. The permit is
+    /// checked right before the transaction is sent, which compares the claim with the permit's term, and the
+    /// incarnation's witness.
+    async fn commit_for_duty(
         &mut self,
-        warrant: Warrant,
+        permit: Warrant,
         mut compare: Vec<Compare>,
         then: Vec<ravenspar_store::Step>,
     ) -> Result<u64, Stop> {
-        let Some((duty, term)) = warrant.leaves(self.clock.now()) else { return Err(Stop::Not) };
-        compare.push(at(self.keys.duty(self.name(duty)), term));
-        Halt::meet(&mut self.halt, Point::Effect);
-        let done = self.hand.commit(compare, then).await;
-        Halt::meet(&mut self.halt, Point::Effected);
-        done
+        let Some((duty, term)) = permit.leaves(self.clock.now()) else { return Err(Stop::Not) };
+        compare.push(at(self.keys.duty(self.duty_name(duty)), term));
+        Halt::meet(&mut self.failpoint, Point::Effect);
+        let committed = self.writer.commit(compare, then).await;
+        Halt::meet(&mut self.failpoint, Point::Effected);
+        committed
     }
 
-    fn name(&self, duty: Duty) -> &'static str {
-        self.names.get(duty).copied().unwrap_or_default()
+    fn duty_name(&self, duty: Duty) -> &'static str {
+        self.duty_names.get(duty).copied().unwrap_or_default()
     }
 }
 
-/// The event of a transaction: its revision where it was carried out; the end of this life where that is not known.
-fn ended(done: Result<u64, Stop>, event: impl FnOnce(Option<u64>) -> Event) -> Event {
-    match done {
+/// Returns the event for a transaction: with its revision if it was committed and without one if a condition failed. If
+/// its outcome is unknown, the incarnation has to end.
+fn commit_event(committed: Result<u64, Stop>, event: impl FnOnce(Option<u64>) -> Event) -> Event {
+    match committed {
         Ok(revision) => event(Some(revision)),
         Err(Stop::Not) => event(None),
-        Err(Stop::Over(why)) => Event::Over(why),
+        Err(Stop::Over(why)) => Event::Terminated(why),
     }
 }
 
-/// What the executor for agents is asked for.
-pub enum Ask {
-    /// Read a job's line, as an outcome of it has come.
-    Line(String),
-    /// Write an outcome with the line that it makes, compared with the line as it was read.
+/// Requests to the executor for agents.
+pub enum AgentRequest {
+    /// Read a job's line, for an outcome that was reported.
+    ReadLine(String),
+    /// Write an outcome and the resulting line, provided that the line is still at the revision `seen`.
     Settle { job: String, seen: u64, line: Line, token: Token, ended: Ended },
-    /// Write what agents have reported as used, each merged with what is at the store.
-    Uses(Vec<ReportedUse>),
-    /// Read a job's text, to hand it to its site.
-    Spec { stream: u64, term: u64, life: u64, job: String, token: Token },
+    /// Write uses that agents have reported, each merged with its entry in the store.
+    WriteUses(Vec<ReportedUse>),
+    /// Read a job's specification, to send it to its site.
+    ReadSpec { stream: u64, term: u64, incarnation: u64, job: String, token: Token },
 }
 
 /// A use that an agent has reported.
@@ -188,61 +187,62 @@
     pub job: String,
 }
 
+/// Executes the requests made for agents, in batches.
 pub struct AgentExecutor {
-    pub hand: Hand,
+    pub writer: Hand,
     pub store: Shared,
     pub keys: Keys,
     pub events: mpsc::Sender<Event>,
 }
 
 impl AgentExecutor {
-    pub fn start(mut self) -> (mpsc::Sender<Ask>, tokio::task::AbortHandle) {
-        let (asks, mut queue) = mpsc::channel(ravenspar_store::MOST * 4);
+    pub fn start(mut self) -> (mpsc::Sender<AgentRequest>, tokio::task::AbortHandle) {
+        let (requests, mut queue) = mpsc::channel(ravenspar_store::MOST * 4);
         let events = self.events.clone();
         let task = async move {
             let mut waiting = Vec::new();
-            // What waits is carried out together: three of a transaction's operations for each at most.
+            // Waiting requests are executed as a batch; each takes three of a transaction's operations at most.
             while queue.recv_many(&mut waiting, ravenspar_store::MOST / 3).await > 0 {
-                for event in self.carry_out(std::mem::take(&mut waiting)).await {
+                for event in self.execute(std::mem::take(&mut waiting)).await {
                     if self.events.send(event).await.is_err() {
                         return;
                     }
                 }
             }
         };
-        (asks, watched("the executor for agents", task, events, Event::Over))
+        (requests, watched("the executor for agents", task, events, Event::Terminated))
     }
 
-    async fn carry_out(&mut self, asks: Vec<Ask>) -> Vec<Event> {
-        let (mut reads, mut settles, mut uses) = (Vec::new(), Vec::new(), Vec::new());
-        for ask in asks {
-            match ask {
-                Ask::Uses(reported) => uses.extend(reported),
-                Ask::Settle { job, seen, line, token, ended } => {
-                    settles.push((job, seen, line, token, ended))
+    async fn execute(&mut self, requests: Vec<AgentRequest>) -> Vec<Event> {
+        let (mut reads, mut outcomes, mut uses) = (Vec::new(), Vec::new(), Vec::new());
+        for request in requests {
+            match request {
+                AgentRequest::WriteUses(reported) => uses.extend(reported),
+                AgentRequest::Settle { job, seen, line, token, ended } => {
+                    outcomes.push((job, seen, line, token, ended))
                 }
                 read => reads.push(read),
             }
         }
         let mut events = self.read(reads).await;
-        for some in uses.chunks(ravenspar_store::MOST / 3) {
-            match self.uses(some).await {
+        for chunk in uses.chunks(ravenspar_store::MOST / 3) {
+            match self.write_uses(chunk).await {
                 Ok(counted) => events.push(Event::Counted(counted)),
-                Err(Stop::Over(why)) => events.push(Event::Over(why)),
-                // Somebody else has written one of them, or the store does not answer: they are tried again.
+                Err(Stop::Over(why)) => events.push(Event::Terminated(why)),
+                // Another steward has written one of them, or the store does not answer: they are written again.
                 Err(Stop::Not) => events.push(Event::Counted(Vec::new())),
             }
         }
-        match self.settle(&settles).await {
-            Ok(()) => events.extend(settles.into_iter().map(|(job, ..)| Event::Settled { job, done: true })),
-            Err(Stop::Over(why)) => events.push(Event::Over(why)),
-            // One of them is not as it was read: each by itself.
+        match self.write_outcomes(&outcomes).await {
+            Ok(()) => events.extend(outcomes.into_iter().map(|(job, ..)| Event::Settled { job, done: true })),
+            Err(Stop::Over(why)) => events.push(Event::Terminated(why)),
+            // A line has changed since it was read: each outcome is tried on its own.
             Err(Stop::Not) => {
-                for settle in settles {
-                    let done = self.settle(std::slice::from_ref(&settle)).await;
-                    match done {
-                        Err(Stop::Over(why)) => events.push(Event::Over(why)),
-                        done => events.push(Event::Settled { job: settle.0, done: done.is_ok() }),
+                for outcome in outcomes {
+                    let written = self.write_outcomes(std::slice::from_ref(&outcome)).await;
+                    match written {
+                        Err(Stop::Over(why)) => events.push(Event::Terminated(why)),
+                        written => events.push(Event::Settled { job: outcome.0, done: written.is_ok() }),
                     }
                 }
             }
@@ -250,46 +250,51 @@
         events
     }
 
-    async fn read(&self, reads: Vec<Ask>) -> Vec<Event> {
+    /// Reads lines and specifications, all in one request to the store.
+    async fn read(&self, reads: Vec<AgentRequest>) -> Vec<Event> {
         if reads.is_empty() {
             return Vec::new();
         }
-        let key = |ask: &Ask| match ask {
-            Ask::Line(job) | Ask::Settle { job, .. } => self.keys.line(job),
-            Ask::Spec { job, .. } => self.keys.job(job),
-            Ask::Uses(_) => Vec::new(),
+        let key = |request: &AgentRequest| match request {
+            AgentRequest::ReadLine(job) | AgentRequest::Settle { job, .. } => self.keys.line(job),
+            AgentRequest::ReadSpec { job, .. } => self.keys.job(job),
+            AgentRequest::WriteUses(_) => Vec::new(),
         };
-        let ranges = reads.iter().map(|ask| Range { key: key(ask), end: Vec::new(), since: 0 }).collect();
+        let ranges =
+            reads.iter().map(|request| Range { key: key(request), end: Vec::new(), since: 0 }).collect();
         let found = self.store.read(ranges).await;
         let mut rows = found.map(|read| read.ranges).unwrap_or_default().into_iter();
         let mut events = Vec::new();
-        for ask in reads {
-            // Where the store does not answer, agents and stewards ask again.
+        for request in reads {
+            // If the store does not answer, agents and stewards ask again.
             let row = rows.next().map(|rows| rows.into_iter().next());
-            events.extend(match (ask, row) {
-                (Ask::Line(job) | Ask::Settle { job, .. }, Some(row)) => {
+            events.extend(match (request, row) {
+                (AgentRequest::ReadLine(job) | AgentRequest::Settle { job, .. }, Some(row)) => {
                     let line = row.and_then(|row| Some((rows::line(&row)?.1, row.modified)));
-                    Some(Event::Line { job, line })
+                    Some(Event::LineRead { job, line })
                 }
-                (Ask::Line(job) | Ask::Settle { job, .. }, None) => Some(Event::Settled { job, done: false }),
-                (Ask::Spec { stream, term, life, job, token }, Some(Some(row))) => {
+                (AgentRequest::ReadLine(job) | AgentRequest::Settle { job, .. }, None) => {
+                    Some(Event::Settled { job, done: false })
+                }
+                (AgentRequest::ReadSpec { stream, term, incarnation, job, token }, Some(Some(row))) => {
                     let spec = String::from_utf8_lossy(&row.value).into_owned();
-                    Some(Event::Spec { stream, term, life, job, token, spec })
+                    Some(Event::SpecRead { stream, term, incarnation, job, token, spec })
                 }
-                (Ask::Spec { .. } | Ask::Uses(_), _) => None,
+                (AgentRequest::ReadSpec { .. } | AgentRequest::WriteUses(_), _) => None,
             });
         }
         events
     }
 
-    async fn settle(&mut self, settles: &[(String, u64, Line, Token, Ended)]) -> Result<(), Stop> {
-        if settles.is_empty() {
+    /// Writes outcomes and their lines in one transaction.
+    async fn write_outcomes(&mut self, outcomes: &[(String, u64, Line, Token, Ended)]) -> Result<(), Stop> {
+        if outcomes.is_empty() {
             return Ok(());
         }
         let (mut compare, mut then) = (Vec::new(), Vec::new());
-        for (job, seen, line, token, ended) in settles {
+        for (job, seen, line, token, ended) in outcomes {
             compare.push(at(self.keys.line(job), *seen));
-            then.push(put(self.keys.line(job), rows::write(line), 0));
+            then.push(put(self.keys.line(job), rows::encode(line), 0));
             let outcome = match line.state {
                 State::Done => "done",
                 State::Cancelled => "cancelled",
@@ -299,15 +304,15 @@
                 Ended::Failed(why) => why.clone(),
                 _ => String::new(),
             };
-            let row = OutcomeRow { ended: outcome.to_owned(), token: *token, why };
-            then.push(put(self.keys.outcome(job), rows::write(&row), 0));
+            let row = OutcomeRecord { ended: outcome.to_owned(), token: *token, why };
+            then.push(put(self.keys.outcome(job), rows::encode(&row), 0));
         }
-        self.hand.commit(compare, then).await.map(|_| ())
+        self.writer.commit(compare, then).await.map(|_| ())
     }
 
-    /// Writes uses, each once and merged. Returns what is counted with it, or was before. A use of a job that was deleted
-    /// is nobody's.
-    async fn uses(&mut self, reported: &[ReportedUse]) -> Result<Vec<(Key, u64)>, Stop> {
+    /// Merges uses with their entries in the store. Returns those that are stored now or were before; a use of a deleted job
+    /// is dropped and returned as well.
+    async fn write_uses(&mut self, reported: &[ReportedUse]) -> Result<Vec<(Key, u64)>, Stop> {
         let range = |key: Vec<u8>| Range { key, end: Vec::new(), since: 0 };
         let ranges = reported.iter().flat_map(|use_| {
             [range(self.keys.use_of(use_.token, &use_.job)), range(self.keys.job(&use_.job))]
@@ -317,19 +322,19 @@
         let mut found = read.ranges.into_iter().map(|rows| rows.into_iter().next());
         for use_ in reported {
             let (row, job) = (found.next().flatten(), found.next().flatten());
-            let known: Option<UseRow> = row.as_ref().and_then(|row| Some(rows::use_of(row)?.1));
+            let stored: Option<UseRow> = row.as_ref().and_then(|row| Some(rows::use_of(row)?.1));
             counted.push(((use_.token, use_.job.clone()), use_.used));
             let job = job.as_ref().and_then(rows::job).and_then(|(_, job)| job.ok());
             let Some(job) = job else { continue };
             let fact = Fact { user: job.user, group: job.group, used: use_.used, last: use_.last };
-            if let Some(row_to) = UseRow::heard(known.as_ref(), &fact) {
+            if let Some(merged) = UseRow::heard(stored.as_ref(), &fact) {
                 let key = self.keys.use_of(use_.token, &use_.job);
                 compare.push(at(key.clone(), row.map_or(0, |row| row.modified)));
-                then.push(put(key, rows::write(&row_to), 0));
+                then.push(put(key, rows::encode(&merged), 0));
             }
         }
         if !then.is_empty() {
-            self.hand.commit(compare, then).await?;
+            self.writer.commit(compare, then).await?;
         }
         Ok(counted)
     }
--- a/crates/ravenspar/src/work/executors/tests.rs
+++ b/crates/ravenspar/src/work/executors/tests.rs
@@ -1,5 +1,5 @@
-//! What is concluded from a key that is gone from the store: the transaction that acts on it looks there itself, whatever
-//! the life that asks for it has seen.
+//! Actions that rely on a key's absence from the store: the transaction itself checks that, so that a steward with stale
+//! knowledge does no harm.
 
 use std::sync::Arc;
 
@@ -10,198 +10,218 @@
 use ravenspar_store::{Committed, Fault, Guarded, Page, Read, Store};
 
 use super::*;
-use crate::shared::read_life;
+use crate::shared::decode_incarnation;
 use crate::work::DUTIES;
 
 const JOBS: Duty = 0;
-/// The lease of each life, in seconds: far longer than a test takes.
+/// Lease of each incarnation in seconds, far longer than a test takes.
 const LEASE: u32 = 600;
 
 fn keys() -> Keys {
     Keys::new("/fleet/")
 }
 
-/// A life that is a member; its events go nowhere.
-async fn member(store: &Shared, life: Life) -> DutyExecutor {
-    store.grant(life, LEASE).await.expect("a lease");
+/// Joins as a member and returns its executor; the events' receiver is dropped.
+async fn join(store: &Shared, incarnation: Life) -> DutyExecutor {
+    store.grant(incarnation, LEASE).await.expect("the lease is granted");
     let keys = keys();
-    let mut hand = Hand::new(store.clone(), life, keys.work_witness(life, "own"));
-    hand.commit(Vec::new(), vec![put(keys.member(life), Vec::new(), life)]).await.expect("a member");
+    let mut writer = Hand::new(store.clone(), incarnation, keys.work_witness(incarnation, "own"));
+    let then = vec![put(keys.member(incarnation), Vec::new(), incarnation)];
+    writer.commit(Vec::new(), then).await.expect("the member's key is written");
     let (events, _) = mpsc::channel(1);
-    DutyExecutor { hand, keys, life, clock: Clock::new(), halt: None, names: DUTIES, events }
+    DutyExecutor {
+        writer,
+        keys,
+        incarnation,
+        clock: Clock::new(),
+        failpoint: None,
+        duty_names: DUTIES,
+        events,
+    }
 }
 
-/// The revision at which the duty's step was carried out, if it was.
-async fn step(own: &mut DutyExecutor, step: Step) -> Option<u64> {
-    match own.carry_out(Order::Step { step, name: DUTIES[JOBS] }).await {
-        Event::Stepped { term, .. } => term,
-        Event::Over(why) => panic!("{why}"),
-        _ => panic!("another event"),
+/// Returns the revision at which a duty's step was committed, if it was.
+async fn step(executor: &mut DutyExecutor, step: Step) -> Option<u64> {
+    match executor.execute(DutyCommand::Step { step, name: DUTIES[JOBS] }).await {
+        Event::DutyStepDone { term, .. } => term,
+        Event::Terminated(why) => panic!("{why}"),
+        _ => panic!("unexpected event"),
     }
 }
 
-async fn claim(own: &mut DutyExecutor) -> Option<u64> {
-    step(own, Step::Claim { duty: JOBS }).await
+async fn claim(executor: &mut DutyExecutor) -> Option<u64> {
+    step(executor, Step::Claim { duty: JOBS }).await
 }
 
-/// The revision at which a job's line was written under a term of the duty, if it was.
-async fn lines(own: &mut DutyExecutor, term: u64, write: Write) -> Option<u64> {
-    let warrant = Tenure::new(JOBS, term).warrant(0, i64::MAX).expect("a membership without an end");
-    match own.carry_out(Order::Lines { warrant, writes: vec![write] }).await {
-        Event::Wrote { revision, .. } => revision,
-        Event::Over(why) => panic!("{why}"),
-        _ => panic!("another event"),
+/// Writes a job's line under a term of the duty. Returns the revision if it was committed.
+async fn write_line(executor: &mut DutyExecutor, term: u64, write: Write) -> Option<u64> {
+    let permit = Tenure::new(JOBS, term).warrant(0, i64::MAX).expect("the membership has no end");
+    match executor.execute(DutyCommand::Lines { permit, writes: vec![write] }).await {
+        Event::LinesWritten { revision, .. } => revision,
+        Event::Terminated(why) => panic!("{why}"),
+        _ => panic!("unexpected event"),
     }
 }
 
 async fn value(store: &Shared, key: Vec<u8>) -> Option<Vec<u8>> {
-    let read = store.read(vec![Range { key, end: Vec::new(), since: 0 }]).await.expect("an answer");
+    let read = store.read(vec![Range { key, end: Vec::new(), since: 0 }]).await.expect("the store answers");
     read.ranges.into_iter().flatten().next().map(|row| row.value)
 }
 
-async fn owner(store: &Shared) -> Option<Life> {
-    read_life(&value(store, keys().duty(DUTIES[JOBS])).await?)
+async fn leader(store: &Shared) -> Option<Life> {
+    decode_incarnation(&value(store, keys().duty(DUTIES[JOBS])).await?)
 }
 
-fn write(seen: u64, state: State) -> Write {
+fn line_write(seen: u64, state: State) -> Write {
     let line = Line::new(state);
     Write { job: "a".to_owned(), seen, line, there: None, gone: None, delete: false }
 }
 
-/// Both saw the key gone.
+/// Guards against two leaders when both stewards saw the claim's key absent.
 #[tokio::test]
-async fn a_duty_that_two_take_for_nobodys_is_claimed_by_one() {
+async fn only_one_of_two_concurrent_claims_of_a_duty_succeeds() {
     let store: Shared = Arc::new(Memory::default());
-    let (mut one, mut two) = (member(&store, 1).await, member(&store, 2).await);
-    assert!(claim(&mut one).await.is_some());
-    assert_eq!(claim(&mut two).await, None);
-    assert_eq!(owner(&store).await, Some(1));
-    store.revoke(1).await.expect("it ends");
-    assert!(claim(&mut two).await.is_some(), "the claim went with its owner's lease");
-    assert_eq!(owner(&store).await, Some(2));
+    let (mut first, mut second) = (join(&store, 1).await, join(&store, 2).await);
+    assert!(claim(&mut first).await.is_some());
+    assert_eq!(claim(&mut second).await, None);
+    assert_eq!(leader(&store).await, Some(1));
+    store.revoke(1).await.expect("the lease is revoked");
+    assert!(claim(&mut second).await.is_some(), "the claim is deleted with its leader's lease");
+    assert_eq!(leader(&store).await, Some(2));
 }
 
 #[tokio::test]
-async fn a_duty_is_given_to_a_member_that_is_there_and_by_the_term_that_holds() {
+async fn a_duty_is_handed_over_only_to_a_current_member_and_under_the_current_term() {
     let store: Shared = Arc::new(Memory::default());
-    let (mut one, _two) = (member(&store, 1).await, member(&store, 2).await);
-    let term = claim(&mut one).await.expect("nobody has it");
-    let give = |term, to| Step::Give { duty: JOBS, term, to };
-    assert_eq!(step(&mut one, give(term, 3)).await, None, "no member");
-    assert_eq!(step(&mut one, give(term - 1, 2)).await, None, "another term");
-    assert_eq!(owner(&store).await, Some(1));
-    assert!(step(&mut one, give(term, 2)).await.is_some());
-    assert_eq!(owner(&store).await, Some(2));
+    let (mut first, _second) = (join(&store, 1).await, join(&store, 2).await);
+    let term = claim(&mut first).await.expect("the duty has no leader");
+    let hand_over = |term, to| Step::Give { duty: JOBS, term, to };
+    assert_eq!(step(&mut first, hand_over(term, 3)).await, None, "3 is not a member");
+    assert_eq!(step(&mut first, hand_over(term - 1, 2)).await, None, "the term is outdated");
+    assert_eq!(leader(&store).await, Some(1));
+    assert!(step(&mut first, hand_over(term, 2)).await.is_some());
+    assert_eq!(leader(&store).await, Some(2));
 }
 
-/// An owner that was let go and replaced writes nothing more, though its own membership holds as it sees it.
+/// Guards against writes by a leader that was replaced while its membership still holds by its own clock.
 #[tokio::test]
-async fn nothing_is_written_under_a_term_that_is_over() {
+async fn nothing_is_written_under_an_outdated_term() {
     let store: Shared = Arc::new(Memory::default());
-    let (mut one, mut two) = (member(&store, 1).await, member(&store, 2).await);
-    let term = claim(&mut one).await.expect("nobody has it");
-    let next = step(&mut one, Step::Give { duty: JOBS, term, to: 2 }).await.expect("given");
-    assert_eq!(lines(&mut one, term, write(0, State::Waiting)).await, None);
+    let (mut first, mut second) = (join(&store, 1).await, join(&store, 2).await);
+    let term = claim(&mut first).await.expect("the duty has no leader");
+    let next =
+        step(&mut first, Step::Give { duty: JOBS, term, to: 2 }).await.expect("the duty is handed over");
+    assert_eq!(write_line(&mut first, term, line_write(0, State::Waiting)).await, None);
     assert_eq!(value(&store, keys().line("a")).await, None);
-    assert!(lines(&mut two, next, write(0, State::Waiting)).await.is_some());
+    assert!(write_line(&mut second, next, line_write(0, State::Waiting)).await.is_some());
 }
 
-/// The site's key was not in what the owner read; it is there as the transaction is carried out, or its site is back under
-/// another life.
+/// Guards against a job that runs twice: the leader missed the site's key in its poll, but the key exists when the
+/// transaction is executed, or the site is back under another incarnation.
 #[tokio::test]
-async fn a_job_is_taken_from_a_site_only_where_that_life_is_gone_at_the_store() {
+async fn a_job_is_taken_from_a_site_only_if_its_incarnation_is_gone_from_the_store() {
     let store: Shared = Arc::new(Memory::default());
-    let mut owner = member(&store, 1).await;
-    let term = claim(&mut owner).await.expect("nobody has it");
-    let site = |life| vec![put(keys().site(life), Vec::new(), life)];
-    for life in [7, 8] {
-        store.grant(life, LEASE).await.expect("a lease");
+    let mut leader = join(&store, 1).await;
+    let term = claim(&mut leader).await.expect("the duty has no leader");
+    let site = |incarnation| vec![put(keys().site(incarnation), Vec::new(), incarnation)];
+    for incarnation in [7, 8] {
+        store.grant(incarnation, LEASE).await.expect("the lease is granted");
     }
-    owner.hand.commit(Vec::new(), site(7)).await.expect("a site");
-    let to_it = Write { there: Some(7), ..write(0, State::Leased(7)) };
-    let seen = lines(&mut owner, term, to_it).await.expect("its site is there");
-    let end = || Write { gone: Some(7), ..write(seen, State::Waiting) };
-    assert_eq!(lines(&mut owner, term, end()).await, None, "its life is there");
-    owner.hand.commit(Vec::new(), site(8)).await.expect("the same site's next life");
-    store.revoke(7).await.expect("it ends");
-    let stale = Write { seen: seen - 1, ..end() };
-    assert_eq!(lines(&mut owner, term, stale).await, None, "an outcome may have come");
-    assert!(lines(&mut owner, term, end()).await.is_some());
-    let again = Write { there: Some(7), ..write(0, State::Leased(7)) };
+    leader.writer.commit(Vec::new(), site(7)).await.expect("the site's key is written");
+    let assigned = Write { there: Some(7), ..line_write(0, State::Leased(7)) };
+    let seen = write_line(&mut leader, term, assigned).await.expect("the site's key exists");
+    let take_back = || Write { gone: Some(7), ..line_write(seen, State::Waiting) };
+    assert_eq!(write_line(&mut leader, term, take_back()).await, None, "the incarnation's key exists");
+    leader
+        .writer
+        .commit(Vec::new(), site(8))
+        .await
+        .expect("the key of the site's next incarnation is written");
+    store.revoke(7).await.expect("the lease is revoked");
+    let stale = Write { seen: seen - 1, ..take_back() };
+    assert_eq!(write_line(&mut leader, term, stale).await, None, "the line may have changed by an outcome");
+    assert!(write_line(&mut leader, term, take_back()).await.is_some());
+    let again = Write { there: Some(7), ..line_write(0, State::Leased(7)) };
     assert_eq!(
-        lines(&mut owner, term, Write { job: "b".to_owned(), ..again }).await,
+        write_line(&mut leader, term, Write { job: "b".to_owned(), ..again }).await,
         None,
-        "nobody is there"
+        "the site's incarnation is gone"
     );
 }
 
-/// A store that can't be asked.
-struct Away;
+/// A store that fails each call.
+struct UnavailableStore;
 
-fn away<T: Send>() -> BoxFuture<'static, Result<T, Fault>> {
-    Box::pin(async { Err(Fault::Refused("away".to_owned())) })
+fn unavailable<T: Send>() -> BoxFuture<'static, Result<T, Fault>> {
+    Box::pin(async { Err(Fault::Refused("unavailable".to_owned())) })
 }
 
-impl Store for Away {
+impl Store for UnavailableStore {
     fn read(&self, _: Vec<Range>) -> BoxFuture<'_, Result<Read, Fault>> {
-        away()
+        unavailable()
     }
 
     fn page(&self, _: Range, _: usize, _: u64) -> BoxFuture<'_, Result<Page, Fault>> {
-        away()
+        unavailable()
     }
 
     fn commit(&self, _: Guarded, _: u32) -> BoxFuture<'_, Result<Committed, Fault>> {
-        away()
+        unavailable()
     }
 
     fn grant(&self, _: u64, _: u32) -> BoxFuture<'_, Result<u32, Fault>> {
-        away()
+        unavailable()
     }
 
     fn renew(&self, _: u64) -> BoxFuture<'_, Result<Option<u32>, Fault>> {
-        away()
+        unavailable()
     }
 
     fn revoke(&self, _: u64) -> BoxFuture<'_, Result<(), Fault>> {
-        away()
+        unavailable()
     }
 }
 
-/// Whoever asks on behalf of agents.
-fn for_agents(store: Shared) -> AgentExecutor {
+/// The executor for agents, with the events' receiver dropped.
+fn agent_executor(store: Shared) -> AgentExecutor {
     let keys = keys();
-    let hand = Hand::new(store.clone(), 1, keys.work_witness(1, "agents"));
+    let writer = Hand::new(store.clone(), 1, keys.work_witness(1, "agents"));
     let (events, _) = mpsc::channel(1);
-    AgentExecutor { hand, store, keys, events }
+    AgentExecutor { writer, store, keys, events }
 }
 
-/// That nothing came is not that there is no such job: the agent is owed no verdict, and says its outcome again.
+/// Guards against a failed read being taken for a missing job: the agent then gets no verdict and reports its outcome
+/// again.
 #[tokio::test]
-async fn a_line_that_was_not_read_refuses_no_outcome() {
-    let ask = || vec![Ask::Line("a".to_owned())];
-    let unasked = for_agents(Arc::new(Away)).carry_out(ask()).await;
-    assert!(matches!(&unasked[..], [Event::Settled { job, done: false }] if job == "a"));
-    let asked = for_agents(Arc::new(Memory::default())).carry_out(ask()).await;
-    assert!(matches!(&asked[..], [Event::Line { job, line: None }] if job == "a"), "there is none");
+async fn a_failed_read_of_a_line_refuses_no_outcome() {
+    let read_line = || vec![AgentRequest::ReadLine("a".to_owned())];
+    let failed = agent_executor(Arc::new(UnavailableStore)).execute(read_line()).await;
+    assert!(matches!(&failed[..], [Event::Settled { job, done: false }] if job == "a"));
+    let answered = agent_executor(Arc::new(Memory::default())).execute(read_line()).await;
+    assert!(
+        matches!(&answered[..], [Event::LineRead { job, line: None }] if job == "a"),
+        "the job has no line"
+    );
 }
 
-/// Two agents' outcomes go in one transaction: one whose line was written meanwhile costs the other nothing.
+/// Outcomes of two agents are written in one transaction. Guards against the loss of both when only one conflicts.
 #[tokio::test]
-async fn an_outcome_that_comes_too_late_costs_no_other_its_own() {
+async fn an_outcome_that_conflicts_does_not_fail_others_of_its_batch() {
     let store: Shared = Arc::new(Memory::default());
-    store.grant(1, LEASE).await.expect("a lease");
-    let mut agents = for_agents(store.clone());
-    let lines = ["a", "b"].map(|job| put(keys().line(job), rows::write(&Line::new(State::Leased(7))), 0));
-    let seen = agents.hand.commit(Vec::new(), lines.into()).await.expect("written");
+    store.grant(1, LEASE).await.expect("the lease is granted");
+    let mut executor = agent_executor(store.clone());
+    let lines = ["a", "b"].map(|job| put(keys().line(job), rows::encode(&Line::new(State::Leased(7))), 0));
+    let seen = executor.writer.commit(Vec::new(), lines.into()).await.expect("the lines are written");
     let settle = |job: &str, seen| {
         let line = Line { last: seen, ..Line::new(State::Done) };
-        Ask::Settle { job: job.to_owned(), seen, line, token: seen, ended: Ended::Done }
+        AgentRequest::Settle { job: job.to_owned(), seen, line, token: seen, ended: Ended::Done }
     };
-    let events = agents.carry_out(vec![settle("a", seen - 1), settle("b", seen)]).await;
-    let done = |job: &str| {
-        events.iter().any(|event| matches!(event, Event::Settled { job: of, done: true } if of == job))
+    let events = executor.execute(vec![settle("a", seen - 1), settle("b", seen)]).await;
+    let is_settled = |job: &str| {
+        events
+            .iter()
+            .any(|event| matches!(event, Event::Settled { job: settled, done: true } if settled == job))
     };
-    assert_eq!((done("a"), done("b")), (false, true));
+    assert_eq!((is_settled("a"), is_settled("b")), (false, true));
     assert_eq!(value(&store, keys().outcome("a")).await, None);
 }
--- a/crates/ravenspar/src/work/frames.rs
+++ b/crates/ravenspar/src/work/frames.rs
@@ -7,7 +7,7 @@
 use ravenspar_jobs::{Ended, Hello, Life, Token};
 use ravenspar_protocol::{kind, tag, Body, Fault, Frame, VERSION};
 
-/// What was used under a token so far, for a job.
+/// An agent's report of what a job has used under a token so far; `last` marks the final one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Used {
     pub token: Token,
@@ -16,41 +16,32 @@
     pub job: String,
 }
 
-/// What an agent says.
+/// A message from an agent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
-    /// It is this site, in this life; lives of it that are over for good.
-    Site {
-        hello: Hello,
-        before: Vec<Life>,
-        version: u64,
-    },
-    /// It renews its life, and has these jobs in hand or outcomes of them.
-    Keep {
-        sent: u64,
-        held_jobs: BTreeSet<(String, Token)>,
-    },
-    Outcome {
-        job: String,
-        token: Token,
-        ended: Ended,
-    },
-    /// What it has used so far under tokens, and whether that is all.
+    /// Introduces the site and its incarnation; `before` are earlier incarnations that have ended for good.
+    Site { hello: Hello, before: Vec<Life>, version: u64 },
+    /// Renews the incarnation's lease, and lists the jobs that the site runs or has outcomes of.
+    Keep { sent: u64, held_jobs: BTreeSet<(String, Token)> },
+    /// Reports how a job ended.
+    Outcome { job: String, token: Token, ended: Ended },
+    /// Reports what was used under tokens.
     Used(Vec<Used>),
-    /// It knows this term of the duty, which is higher than the one it was told.
+    /// Rejects an order: the agent knows this term of the duty, which is higher than the order's.
     Holds(u64),
-    /// It ends this life: nothing is in hand any more.
+    /// Ends this incarnation, which runs no jobs any more.
     Over(Life),
-    /// It is there.
+    /// A heartbeat, with the time at which it was sent.
     Ping(u64),
-    /// Of a kind that is not an agent's.
-    Other,
+    /// A frame of a kind that agents don't send.
+    Unknown,
 }
 
-pub fn read(body: &[u8]) -> Result<Message, Fault> {
+/// Decodes an agent's frame; fails if it is malformed or lacks a required field.
+pub fn decode(body: &[u8]) -> Result<Message, Fault> {
     let mut body = Body::new(body)?;
     let kind = body.kind();
-    let (mut sent, mut version, mut term, mut life) = (0, 0, 0, 0);
+    let (mut sent, mut version, mut term, mut incarnation) = (0, 0, 0, 0);
     let (mut hello, mut before, mut held_jobs, mut uses) = (None, Vec::new(), Vec::new(), Vec::new());
     let mut ended = None;
     while let Some((tag, mut field)) = body.field()? {
@@ -59,10 +50,10 @@
             tag::SENT => sent = field.number()?,
             tag::TERM => term = field.number()?,
             tag::LIFE => {
-                life = field.number()?;
+                incarnation = field.number()?;
                 if kind == kind::SITE {
                     let (boot, room) = (field.number()?, field.index()?);
-                    hello = Some(Hello { life, boot, room, name: field.text()?.to_owned() });
+                    hello = Some(Hello { life: incarnation, boot, room, name: field.text()?.to_owned() });
                 }
             }
             tag::BEFORE => before.push(field.number()?),
@@ -99,44 +90,56 @@
         kind::PING => Message::Ping(sent),
         kind::USED => Message::Used(uses),
         kind::HOLDS => Message::Holds(term),
-        kind::OVER => Message::Over(life),
-        _ => Message::Other,
+        kind::OVER => Message::Over(incarnation),
+        _ => Message::Unknown,
     })
 }
 
+/// The last frame of a stream that this steward closes, with the reason.
 pub fn refusal(reason: &str) -> Bytes {
     Frame::new(kind::REFUSAL).numbers(tag::VERSION, &[VERSION]).text(tag::REASON, &[], reason).finish()
 }
 
-pub fn kept(life: Life, sent: u64, lease: u64) -> Bytes {
+/// Confirms a renewal that the agent sent at `sent`.
+pub fn kept(incarnation: Life, sent: u64, lease: u64) -> Bytes {
     let mut frame = Frame::new(kind::KEPT);
-    frame.numbers(tag::LIFE, &[life]).numbers(tag::SENT, &[sent]).numbers(tag::LEASE, &[lease]).finish()
+    frame
+        .numbers(tag::LIFE, &[incarnation])
+        .numbers(tag::SENT, &[sent])
+        .numbers(tag::LEASE, &[lease])
+        .finish()
 }
 
+/// Answers a heartbeat.
 pub fn echo(sent: u64) -> Bytes {
     Frame::new(kind::ECHO).numbers(tag::SENT, &[sent]).finish()
 }
 
-pub fn over(life: Life) -> Bytes {
-    Frame::new(kind::OVER).numbers(tag::LIFE, &[life]).finish()
+/// Tells an agent that its site's incarnation has ended.
+pub fn over(incarnation: Life) -> Bytes {
+    Frame::new(kind::OVER).numbers(tag::LIFE, &[incarnation]).finish()
 }
 
-pub fn give(term: u64, life: Life, job: &str, token: Token, spec: &str) -> Bytes {
+/// Assigns a job to a site's incarnation.
+pub fn give(term: u64, incarnation: Life, job: &str, token: Token, spec: &str) -> Bytes {
     let mut frame = Frame::new(kind::GIVE);
-    frame.numbers(tag::TERM, &[term]).numbers(tag::LIFE, &[life]);
+    frame.numbers(tag::TERM, &[term]).numbers(tag::LIFE, &[incarnation]);
     frame.text(tag::JOB, &[token], job).text(tag::SPEC, &[], spec).finish()
 }
 
+/// Tells an agent to stop a job.
 pub fn stop(term: u64, job: &str, token: Token) -> Bytes {
     Frame::new(kind::STOP).numbers(tag::TERM, &[term]).text(tag::JOB, &[token], job).finish()
 }
 
+/// Accepts a reported outcome, or refuses it for a reason.
 pub fn verdict(job: &str, token: Token, refused: Option<&str>) -> Bytes {
     let how = u64::from(refused.is_some());
     let mut frame = Frame::new(kind::VERDICT);
     frame.text(tag::JOB, &[token], job).text(tag::ENDED, &[how], refused.unwrap_or("")).finish()
 }
 
+/// Acknowledges uses that are stored or need not be reported any more.
 pub fn counted(uses: &[(Key, u64)]) -> Bytes {
     let mut frame = Frame::new(kind::COUNTED);
     for ((token, job), used) in uses {
@@ -150,20 +153,20 @@
     use super::*;
 
     #[test]
-    fn what_an_agent_says_is_read_and_what_it_can_not_mean_is_a_fault() {
+    fn agent_messages_are_decoded_and_incomplete_ones_rejected() {
         let mut site = Frame::new(kind::SITE);
         site.numbers(tag::VERSION, &[VERSION])
             .text(tag::LIFE, &[9, 1, 4], "north")
             .numbers(tag::BEFORE, &[8]);
         let hello = Hello { life: 9, boot: 1, room: 4, name: "north".to_owned() };
-        assert_eq!(read(&site.finish()), Ok(Message::Site { hello, before: vec![8], version: VERSION }));
+        assert_eq!(decode(&site.finish()), Ok(Message::Site { hello, before: vec![8], version: VERSION }));
         let mut outcome = Frame::new(kind::OUTCOME);
         outcome.text(tag::JOB, &[70], "a").text(tag::ENDED, &[1], "why");
         let ended = Ended::Failed("why".to_owned());
-        assert_eq!(read(&outcome.finish()), Ok(Message::Outcome { job: "a".to_owned(), token: 70, ended }));
-        assert!(read(&Frame::new(kind::SITE).finish()).is_err());
-        assert!(read(&Frame::new(kind::OUTCOME).finish()).is_err());
-        assert!(read(Frame::new(kind::KEEP).numbers(tag::JOB, &[]).finish().as_ref()).is_err());
+        assert_eq!(decode(&outcome.finish()), Ok(Message::Outcome { job: "a".to_owned(), token: 70, ended }));
+        assert!(decode(&Frame::new(kind::SITE).finish()).is_err());
+        assert!(decode(&Frame::new(kind::OUTCOME).finish()).is_err());
+        assert!(decode(Frame::new(kind::KEEP).numbers(tag::JOB, &[]).finish().as_ref()).is_err());
         use super::super::rows;
         assert!(
             rows::is_name("a-1.b_C")
--- a/crates/ravenspar/src/work/mod.rs
+++ b/crates/ravenspar/src/work/mod.rs
@@ -1,14 +1,14 @@
-//! Work on behalf of the whole fleet: the task of one life that owns its part in duties and its agents' streams.
+//! Work on behalf of the whole fleet: the task of one incarnation that handles its duties and its agents' streams.
 //!
-//! It owns all its state and talks by bounded messages: to its hands at the store, to the task that looks there, to the
-//! streams of agents, and to the core that it tells of its end. Should it or one of those end by a fault, the life is over:
-//! the steward joins anew and goes on from what the store says.
+//! The task owns all its state and communicates over bounded channels: with the executors that write to the store, with
+//! the task that polls it, with the streams of agents, and with the core, to which it reports its end. If it or one of
+//! those tasks panics, the incarnation ends: the steward joins again and continues from the state of the store.
 
 mod agents;
 mod duties;
 mod executors;
 mod frames;
-mod look;
+mod poll;
 mod rows;
 mod uses;
 
@@ -33,106 +33,114 @@
 use crate::shared::Keys;
 use crate::streams::{self, Input, Stream};
 
-use executors::{AgentExecutor, Ask, DutyExecutor, Order};
-use look::{Look, Looker, Wanted};
-use rows::Reach;
+use executors::{AgentExecutor, AgentRequest, DutyCommand, DutyExecutor};
+use poll::{PollRequest, PollResult, Poller};
+use rows::Reachability;
 
-/// The duties that there are, by their names in the store.
+/// The names of all duties in the store, indexed by [`Duty`].
 pub const DUTIES: &[&str] = &["jobs", "debts"];
 const JOBS: Duty = 0;
 const DEBTS: Duty = 1;
 
-/// What comes of what was asked for outside, and what is seen there.
+/// Results of store operations, sent to the task by the executors, the poller and the calls for agents.
 enum Event {
-    Looked(Box<Look>),
-    Away(String),
-    Stepped {
+    Polled(Box<PollResult>),
+    /// A poll failed, for this reason.
+    StoreUnavailable(String),
+    /// A claim or hand-over of a duty has ended, with the new term if it was committed.
+    DutyStepDone {
         step: Step,
         term: Option<Term>,
     },
-    Wrote {
+    /// Job lines were written at this revision, or not at all.
+    LinesWritten {
         writes: Vec<Write>,
         revision: Option<u64>,
     },
+    /// A fold was committed at this revision, or not at all.
     Folded {
         fold: Fold,
         revision: Option<u64>,
     },
-    /// Uses that are counted, by their tokens.
+    /// Uses that are in the store now, by token and job.
     Counted(Vec<(Key, u64)>),
-    Reached,
+    ReachabilityWritten,
     Registered {
         stream: u64,
-        life: Life,
+        incarnation: Life,
     },
+    /// A site's lease was renewed. `held` is `None` if the store did not answer.
     Renewed {
         stream: u64,
-        life: Life,
+        incarnation: Life,
         sent: u64,
         held: Option<bool>,
     },
-    Line {
+    /// A job's line and its revision, as read for an outcome; `None` if there is no such line.
+    LineRead {
         job: String,
         line: Option<(Line, u64)>,
     },
+    /// An outcome was written or, if not `done`, has to be reported again.
     Settled {
         job: String,
         done: bool,
     },
-    Spec {
+    SpecRead {
         stream: u64,
         term: u64,
-        life: Life,
+        incarnation: Life,
         job: String,
         token: Token,
         spec: String,
     },
-    Over(String),
+    /// This incarnation has to end, for this reason.
+    Terminated(String),
 }
 
-/// Answers that wait for the task; whoever has one waits where it is full.
-const EVENTS: usize = 256;
+/// Capacity of the task's event queue; senders wait while it is full.
+const EVENT_QUEUE_CAPACITY: usize = 256;
 
-/// Calls for agents under way at a time: registrations, renewals, ends. Agents ask again.
-const CALLS: usize = 256;
+/// Limit of concurrent calls for agents: registrations, renewals, ends. Beyond it they are dropped, as agents ask again.
+const MAX_CALLS: usize = 256;
 
-/// Frames that wait for an agent's stream: as many orders as a look at the store may bring for a large site.
-const FRAMES: usize = 256;
+/// Capacity of an agent's outbound queue, in frames: enough for all orders that one poll may bring for a large site.
+const STREAM_QUEUE_CAPACITY: usize = 256;
 
-/// Reported uses that wait for the store at most; agents report again what is left out.
-const PENDING_USES: usize = 4_096;
+/// Limit of reported uses that wait to be written; agents report again those that are left out.
+const MAX_PENDING_USES: usize = 4_096;
 
-/// Between two lines of the log on what work for the fleet does.
-const STATUS: Time = 10 * SECOND;
+/// Interval between two status lines in the log.
+const STATUS_INTERVAL: Time = 10 * SECOND;
 
-/// What the core tells the task.
+/// The state of this steward's membership, published by the core.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MembershipStatus {
-    /// When the membership is over, as this steward reckons it.
+    /// When the membership expires, by this steward's clock.
     pub until: Time,
     pub leaving: bool,
 }
 
-/// What it takes to begin.
-pub struct With {
+/// What the task needs to start.
+pub struct WorkContext {
     pub store: Shared,
     pub keys: Keys,
     pub clock: Clock,
-    pub life: Life,
+    pub incarnation: Life,
     pub listener: Arc<TcpListener>,
     pub settings: settings::Jobs,
     pub debts: Option<settings::Debts>,
     pub membership_status: watch::Receiver<MembershipStatus>,
-    /// Where tests meet it.
-    pub halt: Option<Halt>,
+    /// Where a test makes the process crash or pause.
+    pub failpoint: Option<Halt>,
 }
 
-/// The core's end of the task: dropping it ends the task and all that it began.
+/// The core's handle to the task; dropping it aborts the task and its children.
 pub struct Work {
     task: AbortHandle,
     ended: mpsc::Receiver<String>,
-    /// Duties that this life has.
-    has: watch::Receiver<usize>,
+    /// How many duties this incarnation leads.
+    duty_count: watch::Receiver<usize>,
 }
 
 impl Drop for Work {
@@ -142,172 +150,179 @@
 }
 
 impl Work {
-    pub fn start(with: With) -> Work {
+    pub fn start(context: WorkContext) -> Work {
         let (end_sender, ended) = mpsc::channel(1);
-        let (has, seen) = watch::channel(0);
+        let (duty_count, seen) = watch::channel(0);
         let task = tokio::spawn(async move {
-            let why = Task::new(with, has).run().await;
+            let why = Task::new(context, duty_count).run().await;
             let _ = end_sender.send(why).await;
         });
-        Work { task: task.abort_handle(), ended, has: seen }
+        Work { task: task.abort_handle(), ended, duty_count: seen }
     }
 
-    /// Why it has ended; never, as long as it goes on.
+    /// Waits until the task has ended and returns the reason.
     pub async fn ended(&mut self) -> String {
-        self.ended.recv().await.unwrap_or_else(|| "the task of work for the fleet has ended".to_owned())
+        self.ended.recv().await.unwrap_or_else(|| "the task for fleet work has ended".to_owned())
     }
 
-    /// Whether this life has no duty.
+    /// Returns true if this incarnation leads no duty.
     pub fn is_free(&self) -> bool {
-        *self.has.borrow() == 0
+        *self.duty_count.borrow() == 0
     }
 }
 
-struct Tasks(Vec<AbortHandle>);
+/// Child tasks, aborted when dropped.
+struct AbortOnDrop(Vec<AbortHandle>);
 
-impl Drop for Tasks {
+impl Drop for AbortOnDrop {
     fn drop(&mut self) {
         self.0.iter().for_each(AbortHandle::abort);
     }
 }
 
 struct Task {
-    with: With,
+    context: WorkContext,
     duties: Duties,
     pace: Pace,
     useful: Useful,
-    reach: Reach,
-    /// What is being written of it, and since when another waits.
-    reach_busy: bool,
-    /// What others of this fleet report of themselves.
-    reaches: BTreeMap<Life, Reach>,
-    desk: Desk,
-    /// This steward's term as owner of the duty of jobs.
-    owner: Option<(Tenure, Giver)>,
+    reachability: Reachability,
+    /// True while a write of `reachability` is in flight.
+    reachability_write_pending: bool,
+    /// What all members of the fleet report of themselves.
+    peer_reachability: BTreeMap<Life, Reachability>,
+    agent_sessions: Desk,
+    /// Set while this steward is the leader of the duty of jobs.
+    jobs_leadership: Option<(Tenure, Giver)>,
     books: Books,
-    /// When the ranking that is gone by was first seen.
-    ranked_at: Time,
-    /// Its term as owner of the duty of debts, and when the next epoch begins.
-    folder: Option<(Tenure, Time)>,
-    /// What agents have said that was used and is not at the store yet, with who said so last.
+    /// When the ranking in use was applied.
+    ranking_changed_at: Time,
+    /// Set while this steward is the leader of the duty of debts, with the time when the next epoch begins.
+    debts_leadership: Option<(Tenure, Time)>,
+    /// Uses that agents have reported and that are not in the store yet, and the stream that reported each last.
     pending_uses: Facts,
     reported_by: BTreeMap<Key, u64>,
-    uses_at: Time,
-    /// Some are on their way to the store.
-    uses_busy: bool,
-    /// How often all uses were asked for.
-    uses_asked: u64,
+    next_use_write_at: Time,
+    /// True while a write of uses is in flight.
+    use_write_pending: bool,
+    /// Incremented whenever all uses have to be read again.
+    uses_generation: u64,
     streams: BTreeMap<u64, Stream>,
     next_stream: u64,
     inputs: mpsc::Sender<Input>,
     queue: mpsc::Receiver<Input>,
     event_sender: mpsc::Sender<Event>,
     events: mpsc::Receiver<Event>,
-    own: mpsc::Sender<Order>,
-    agents: mpsc::Sender<Ask>,
-    wanted: watch::Sender<Wanted>,
-    sooner: Arc<Notify>,
-    calls: Arc<tokio::sync::Semaphore>,
-    has: watch::Sender<usize>,
+    duty_commands: mpsc::Sender<DutyCommand>,
+    agent_requests: mpsc::Sender<AgentRequest>,
+    poll_request: watch::Sender<PollRequest>,
+    poll_now: Arc<Notify>,
+    call_permits: Arc<tokio::sync::Semaphore>,
+    duty_count: watch::Sender<usize>,
     status_at: Time,
-    away: bool,
-    turned_away: u64,
-    _tasks: Tasks,
+    store_unavailable: bool,
+    rejected_connections: u64,
+    _tasks: AbortOnDrop,
 }
 
 impl Task {
-    fn new(with: With, has: watch::Sender<usize>) -> Task {
+    fn new(context: WorkContext, duty_count: watch::Sender<usize>) -> Task {
         let (inputs, queue) = mpsc::channel(streams::INPUTS);
-        let (event_sender, events) = mpsc::channel(EVENTS);
-        let (store, keys, life, clock) = (with.store.clone(), with.keys.clone(), with.life, with.clock);
-        let hand = |name: &str| Hand::new(store.clone(), life, keys.work_witness(life, name));
-        let halt = with.halt;
-        let own = DutyExecutor {
-            hand: hand("own"),
+        let (event_sender, events) = mpsc::channel(EVENT_QUEUE_CAPACITY);
+        let (store, keys) = (context.store.clone(), context.keys.clone());
+        let (incarnation, clock) = (context.incarnation, context.clock);
+        let writer = |name: &str| Hand::new(store.clone(), incarnation, keys.work_witness(incarnation, name));
+        let failpoint = context.failpoint;
+        let duty_executor = DutyExecutor {
+            writer: writer("own"),
             keys: keys.clone(),
-            life,
+            incarnation,
             clock,
-            halt,
-            names: DUTIES,
+            failpoint,
+            duty_names: DUTIES,
             events: event_sender.clone(),
         };
-        let (own, first) = own.start();
-        let agents = AgentExecutor {
-            hand: hand("agents"),
+        let (duty_commands, duty_task) = duty_executor.start();
+        let agent_executor = AgentExecutor {
+            writer: writer("agents"),
             store: store.clone(),
             keys: keys.clone(),
             events: event_sender.clone(),
         };
-        let (agents, second) = agents.start();
-        let (wanted, seen) = watch::channel(Wanted::default());
-        let sooner: Arc<Notify> = Arc::default();
-        let looker = Looker {
+        let (agent_requests, agent_task) = agent_executor.start();
+        let (poll_request, requests) = watch::channel(PollRequest::default());
+        let poll_now: Arc<Notify> = Arc::default();
+        let poller = Poller {
             store,
             keys,
-            wanted: seen,
-            debts: with.debts.is_some(),
-            sooner: sooner.clone(),
+            requests,
+            debts_enabled: context.debts.is_some(),
+            poll_now: poll_now.clone(),
             events: event_sender.clone(),
         };
         let now = clock.now();
         Task {
-            // The duty of debts is there where it is asked for.
-            duties: Duties::new(life, if with.debts.is_some() { 2 } else { 1 }, now + CLAIM),
+            // The duty of debts exists only if it is configured.
+            duties: Duties::new(
+                incarnation,
+                if context.debts.is_some() { 2 } else { 1 },
+                now + FIRST_CLAIM_DELAY,
+            ),
             pace: Pace::default(),
             useful: Useful::default(),
-            reach: Reach::default(),
-            reach_busy: false,
-            reaches: BTreeMap::new(),
-            desk: Desk::default(),
-            owner: None,
-            books: Books::new(with.debts.as_ref().map(|debts| debts.shares.clone()).unwrap_or_default()),
-            ranked_at: now,
-            folder: None,
-            pending_uses: Facts::new(PENDING_USES),
+            reachability: Reachability::default(),
+            reachability_write_pending: false,
+            peer_reachability: BTreeMap::new(),
+            agent_sessions: Desk::default(),
+            jobs_leadership: None,
+            books: Books::new(context.debts.as_ref().map(|debts| debts.shares.clone()).unwrap_or_default()),
+            ranking_changed_at: now,
+            debts_leadership: None,
+            pending_uses: Facts::new(MAX_PENDING_USES),
             reported_by: BTreeMap::new(),
-            uses_at: now,
-            uses_busy: false,
-            uses_asked: 0,
+            next_use_write_at: now,
+            use_write_pending: false,
+            uses_generation: 0,
             streams: BTreeMap::new(),
             next_stream: 0,
             inputs,
             queue,
             event_sender,
             events,
-            own,
-            agents,
-            wanted,
-            sooner,
-            calls: Arc::new(tokio::sync::Semaphore::new(CALLS)),
-            has,
-            status_at: now + STATUS,
-            away: false,
-            turned_away: 0,
-            _tasks: Tasks(vec![first, second, looker.start()]),
-            with,
+            duty_commands,
+            agent_requests,
+            poll_request,
+            poll_now,
+            call_permits: Arc::new(tokio::sync::Semaphore::new(MAX_CALLS)),
+            duty_count,
+            status_at: now + STATUS_INTERVAL,
+            store_unavailable: false,
+            rejected_connections: 0,
+            _tasks: AbortOnDrop(vec![duty_task, agent_task, poller.start()]),
+            context,
         }
     }
 
-    /// Returns why this life's work is over.
+    /// Returns the reason why this incarnation has to end.
     async fn run(mut self) -> String {
         loop {
-            let now = self.with.clock.now();
+            let now = self.context.clock.now();
             if !self.pace.is_asked() {
                 self.pace.asks(now);
             }
-            let next = self.owner.as_ref().map_or(Time::MAX, |(_, giver)| giver.next_at(now));
+            let next =
+                self.jobs_leadership.as_ref().map_or(Time::MAX, |(_, scheduler)| scheduler.next_at(now));
             let wake = next.min(now + Pace::TICK).min(self.status_at);
-            let wake = Instant::from_std(self.with.clock.instant(wake));
-            let listener = self.with.listener.clone();
+            let wake = Instant::from_std(self.context.clock.instant(wake));
+            let listener = self.context.listener.clone();
             tokio::select! {
                 Ok((socket, _)) = listener.accept() => self.accept(socket),
                 Some(input) = self.queue.recv() => self.handle_input(input),
                 Some(event) = self.events.recv() => if let Some(why) = self.handle_event(event) { return why },
-                changed = self.with.membership_status.changed() => if changed.is_err() { return "the core has ended".to_owned() },
+                changed = self.context.membership_status.changed() => if changed.is_err() { return "the core has ended".to_owned() },
                 () = tokio::time::sleep_until(wake) => {}
             }
-            // What has come in meanwhile is learnt before anything is decided.
-            for _ in 0..EVENTS {
+            // All queued events are handled before any decision.
+            for _ in 0..EVENT_QUEUE_CAPACITY {
                 let Ok(event) = self.events.try_recv() else { break };
                 if let Some(why) = self.handle_event(event) {
                     return why;
@@ -317,118 +332,121 @@
                 let Ok(input) = self.queue.try_recv() else { break };
                 self.handle_input(input);
             }
-            self.report_usefulness();
-            self.update_ownership();
+            self.report_reachability();
+            self.update_leadership();
             self.assign_jobs();
             self.fold();
             self.write_uses();
-            self.act();
-            self.status();
+            self.run_actions();
+            self.log_status();
         }
     }
 
     fn accept(&mut self, socket: tokio::net::TcpStream) {
-        // Each site's agent has one, and one that replaces it.
-        if self.streams.len() >= 2 * self.with.settings.sites {
-            self.turned_away += 1;
+        // Each site's agent has one stream and perhaps another that replaces it.
+        if self.streams.len() >= 2 * self.context.settings.sites {
+            self.rejected_connections += 1;
             return;
         }
         let number = self.next_stream;
         self.next_stream += 1;
-        self.streams.insert(number, Stream::start(number, socket, &self.inputs, FRAMES));
+        self.streams.insert(number, Stream::start(number, socket, &self.inputs, STREAM_QUEUE_CAPACITY));
     }
 
     fn handle_input(&mut self, input: Input) {
         match input {
-            Input::Frame(stream, body) => match frames::read(&body) {
+            Input::Frame(stream, body) => match frames::decode(&body) {
                 Ok(message) => self.handle_message(stream, message),
                 Err(why) => self.close(stream, &why.to_string()),
             },
             Input::Sent(_) => {}
             Input::Closed(stream) => {
                 self.streams.remove(&stream);
-                self.desk.closed(stream);
+                self.agent_sessions.closed(stream);
             }
         }
     }
 
     fn close(&mut self, stream: u64, why: &str) {
         if let Some(stream) = self.streams.remove(&stream) {
-            tracing::warn!(why, "an agent's stream is broken off");
+            tracing::warn!(why, "closing an agent's stream");
             stream.write(frames::refusal(why));
         }
-        self.desk.closed(stream);
+        self.agent_sessions.closed(stream);
     }
 
-    /// Returns why this life is over, if it is.
+    /// Returns the reason if this incarnation has to end.
     fn handle_event(&mut self, event: Event) -> Option<String> {
-        let now = self.with.clock.now();
+        let now = self.context.clock.now();
         match event {
-            Event::Looked(look) => self.looked(now, *look),
-            Event::Away(why) => {
-                if !std::mem::replace(&mut self.away, true) {
-                    tracing::warn!(%why, "the store does not answer to work for the fleet");
+            Event::Polled(poll) => self.handle_poll(now, *poll),
+            Event::StoreUnavailable(why) => {
+                if !std::mem::replace(&mut self.store_unavailable, true) {
+                    tracing::warn!(%why, "the store does not answer polls of work for the fleet, they are retried");
                 }
             }
-            Event::Stepped { step, term } => {
-                tracing::info!(?step, ?term, "a claim");
+            Event::DutyStepDone { step, term } => {
+                tracing::info!(?step, ?term, "a claim or hand-over of a duty has ended");
                 self.duties.done(step, term);
-                self.sooner.notify_one();
+                self.poll_now.notify_one();
             }
-            Event::Wrote { writes, revision } => {
-                if let Some((_, giver)) = &mut self.owner {
-                    giver.done(now, &writes, revision);
+            Event::LinesWritten { writes, revision } => {
+                if let Some((_, scheduler)) = &mut self.jobs_leadership {
+                    scheduler.done(now, &writes, revision);
                 }
                 if revision.is_some() {
                     for write in writes.iter().filter(|write| !write.delete) {
-                        self.desk.line(&write.job, write.line.clone(), revision.unwrap_or(0));
+                        self.agent_sessions.line(&write.job, write.line.clone(), revision.unwrap_or(0));
                     }
                 } else {
-                    self.sooner.notify_one();
+                    self.poll_now.notify_one();
                 }
             }
-            Event::Folded { fold, revision } => self.folded(now, fold, revision),
-            Event::Counted(counted) => self.counted(&counted),
-            Event::Reached => self.reach_busy = false,
-            Event::Registered { stream, life } => self.desk.registered(stream, life),
-            Event::Renewed { stream, life, sent, held } => self.desk.renewed(stream, life, sent, held),
-            Event::Line { job, line } => self.desk.read(&job, line),
+            Event::Folded { fold, revision } => self.handle_fold(now, fold, revision),
+            Event::Counted(handle_counted) => self.handle_counted(&handle_counted),
+            Event::ReachabilityWritten => self.reachability_write_pending = false,
+            Event::Registered { stream, incarnation } => self.agent_sessions.registered(stream, incarnation),
+            Event::Renewed { stream, incarnation, sent, held } => {
+                self.agent_sessions.renewed(stream, incarnation, sent, held)
+            }
+            Event::LineRead { job, line } => self.agent_sessions.read(&job, line),
             Event::Settled { job, done } => {
-                self.desk.settled(&job, done);
+                self.agent_sessions.settled(&job, done);
                 if done {
-                    self.sooner.notify_one();
+                    self.poll_now.notify_one();
                 }
             }
-            Event::Spec { stream, term, life, job, token, spec } => {
-                self.write(stream, frames::give(term, life, &job, token, &spec));
+            Event::SpecRead { stream, term, incarnation, job, token, spec } => {
+                self.write(stream, frames::give(term, incarnation, &job, token, &spec));
             }
-            Event::Over(why) => return Some(why),
+            Event::Terminated(why) => return Some(why),
         }
         None
     }
 
-    fn status(&mut self) {
-        let now = self.with.clock.now();
+    /// Logs the metrics of work for the fleet, once per interval.
+    fn log_status(&mut self) {
+        let now = self.context.clock.now();
         if now < self.status_at {
             return;
         }
-        self.status_at = now + STATUS;
-        let figures = self.desk.figures();
-        let (term, giver) = match &self.owner {
-            Some((tenure, giver)) => (tenure.term(), Some(giver.figures())),
+        self.status_at = now + STATUS_INTERVAL;
+        let metrics = self.agent_sessions.figures();
+        let (term, scheduler) = match &self.jobs_leadership {
+            Some((leadership, scheduler)) => (leadership.term(), Some(scheduler.figures())),
             None => (0, None),
         };
         tracing::info!(
             term,
-            jobs = ?giver,
-            agents = ?figures,
+            jobs = ?scheduler,
+            agents = ?metrics,
             streams = self.streams.len(),
-            turned_away = self.turned_away,
-            calls = CALLS - self.calls.available_permits(),
+            turned_away = self.rejected_connections,
+            calls = MAX_CALLS - self.call_permits.available_permits(),
             changes = self.duties.changes,
-            poor = self.reach.poor,
+            poor = self.reachability.poor,
             epoch = self.books.epoch(),
-            ranking_age_s = (now - self.ranked_at) / SECOND,
+            ranking_age_s = (now - self.ranking_changed_at) / SECOND,
             users = self.books.ledger().users(),
             uses = ?self.books.open(),
             pending_uses = self.pending_uses.len(),
@@ -439,8 +457,8 @@
     }
 }
 
-/// Claims begin so long after joining: some looks at the store, so that those that start together share from the first.
-const CLAIM: Time = SECOND / 2;
+/// Time from joining to the first claim: several polls, so that stewards that start together share the duties.
+const FIRST_CLAIM_DELAY: Time = SECOND / 2;
 
 #[cfg(test)]
 mod tests;
--- a/crates/ravenspar/src/work/rows.rs
+++ b/crates/ravenspar/src/work/rows.rs
@@ -1,4 +1,4 @@
-//! What work for the fleet reads at the store, and how it is written there.
+//! Encoding and decoding of the store's entries that fleet work uses.
 
 use ravenspar_debt::{Key, Sums, UseRow};
 use ravenspar_duty::{Claim, Life};
@@ -8,29 +8,29 @@
 
 use crate::shared::Keys;
 
-/// A site's key, bound to its life's lease.
+/// The value of a site's key, which is bound to the lease of the site's incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SiteRow {
+pub struct SiteRecord {
     pub name: String,
     pub room: usize,
     pub boot: u64,
 }
 
-/// What a steward says of itself to those who share its duties, bound to its membership.
+/// What a steward reports of itself to the other stewards of the fleet; its key is bound to its membership.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Reach {
-    /// Sites whose agents are connected to it.
+pub struct Reachability {
+    /// Number of sites whose agents are connected to it.
     pub sites: usize,
-    /// It is of no use for duties.
+    /// True if it is unfit to lead duties: too slow, or reaching too few sites.
     pub poor: bool,
-    /// The ranking that it goes by: epoch, revision and digest.
+    /// The ranking that it uses: epoch, revision and digest.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ranking: Option<(u64, u64, String)>,
 }
 
-/// How a job ended, for whoever handed it in.
+/// How a job ended, for the client that submitted it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OutcomeRow {
+pub struct OutcomeRecord {
     /// `done`, `parked` or `cancelled`.
     pub ended: String,
     pub token: u64,
@@ -38,34 +38,37 @@
     pub why: String,
 }
 
-pub fn write<T: Serialize>(row: &T) -> Vec<u8> {
-    // Of plain fields, none of which can fail to be written.
-    serde_json::to_vec(row).unwrap_or_default()
+/// Encodes a value as JSON.
+pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
+    // Types of plain fields, whose serialization can't fail.
+    serde_json::to_vec(value).unwrap_or_default()
 }
 
+/// Decodes a site's entry.
 pub fn site(row: &Row) -> Option<Site> {
-    let life = Keys::life(&row.key)?;
-    let SiteRow { name, room, .. } = serde_json::from_slice(&row.value).ok()?;
-    Some(Site { life, name, room })
+    let incarnation = Keys::incarnation(&row.key)?;
+    let SiteRecord { name, room, .. } = serde_json::from_slice(&row.value).ok()?;
+    Some(Site { life: incarnation, name, room })
 }
 
-pub fn reach(row: &Row) -> Option<(Life, Reach)> {
-    Some((Keys::life(&row.key)?, serde_json::from_slice(&row.value).ok()?))
+/// Decodes a steward's report of itself.
+pub fn reachability(row: &Row) -> Option<(Life, Reachability)> {
+    Some((Keys::incarnation(&row.key)?, serde_json::from_slice(&row.value).ok()?))
 }
 
-/// The claim of a duty, by its name.
+/// Decodes the claim of a duty, with the duty's name.
 pub fn claim(row: &Row) -> Option<(&str, Claim)> {
-    let owner = crate::shared::read_life(&row.value)?;
+    let owner = crate::shared::decode_incarnation(&row.value)?;
     Some((Keys::last(&row.key)?, Claim { owner, term: row.modified }))
 }
 
-/// A line, or what is wrong with it.
+/// Decodes a job's line, with the job's id.
 pub fn line(row: &Row) -> Option<(String, Line)> {
     let id = Keys::last(&row.key)?.to_owned();
     Some((id, serde_json::from_slice(&row.value).ok()?))
 }
 
-/// A job as it was handed in; one that can't be read is told with what is wrong.
+/// Decodes a job as submitted, with its id; the inner error says what is invalid about it.
 pub fn job(row: &Row) -> Option<(String, Result<Job, String>)> {
     let id = Keys::last(&row.key)?.to_owned();
     let job = serde_json::from_slice(&row.value).map_err(|why| why.to_string());
@@ -77,25 +80,26 @@
     Some((id, job))
 }
 
-/// Ids that jobs may have, and names of users and groups: they are parts of keys.
+/// Returns true if this may be a job's id or the name of a user or group, which become parts of keys.
 pub fn is_name(name: &str) -> bool {
     (1..=128).contains(&name.len())
         && name.bytes().all(|byte| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.'))
 }
 
-/// Sums by whose they are.
+/// Decodes the sums of users and groups; entries that can't be read are skipped.
 pub fn sums(rows: &[Row]) -> Sums {
     let mut sums = Sums::default();
     for row in rows {
         let (Some(name), Ok(sum)) = (Keys::last(&row.key), serde_json::from_slice(&row.value)) else {
             continue;
         };
-        let of_group = row.key.ends_with(format!("/g/{name}").as_bytes());
-        if of_group { &mut sums.groups } else { &mut sums.users }.push((name.to_owned(), sum));
+        let is_group = row.key.ends_with(format!("/g/{name}").as_bytes());
+        if is_group { &mut sums.groups } else { &mut sums.users }.push((name.to_owned(), sum));
     }
     sums
 }
 
+/// Decodes a use, with its token and job.
 pub fn use_of(row: &Row) -> Option<(Key, UseRow)> {
     let key = std::str::from_utf8(&row.key).ok()?;
     let (rest, job) = key.rsplit_once('/')?;
--- a/crates/ravenspar/src/work/tests.rs
+++ b/crates/ravenspar/src/work/tests.rs
@@ -1,3 +1,5 @@
+//! Checks that a panic in an executor or the poller ends the incarnation's work.
+
 use std::collections::BTreeSet;
 
 use futures_util::future::BoxFuture;
@@ -5,14 +7,14 @@
 
 use super::*;
 
-/// A store whose client fails by a panic.
-struct Panics;
+/// A store whose client panics on each call.
+struct PanickingStore;
 
 fn panics<T>() -> BoxFuture<'static, Result<T, Fault>> {
-    Box::pin(async { panic!("a fault in the client") })
+    Box::pin(async { panic!("injected panic in the store's client") })
 }
 
-impl Store for Panics {
+impl Store for PanickingStore {
     fn read(&self, _: Vec<Range>) -> BoxFuture<'_, Result<Read, Fault>> {
         panics()
     }
@@ -39,43 +41,52 @@
 }
 
 #[tokio::test]
-async fn a_hand_or_a_look_that_fails_ends_the_lifes_work() {
-    let store: Shared = Arc::new(Panics);
+async fn panic_in_an_executor_or_the_poller_terminates_the_incarnation() {
+    let store: Shared = Arc::new(PanickingStore);
     let keys = Keys::new("test/");
-    let hand = || Hand::new(store.clone(), 1, keys.work_witness(1, "own"));
-    let (event_sender, mut events) = mpsc::channel(EVENTS);
-    let own = DutyExecutor {
-        hand: hand(),
+    let writer = || Hand::new(store.clone(), 1, keys.work_witness(1, "own"));
+    let (event_sender, mut events) = mpsc::channel(EVENT_QUEUE_CAPACITY);
+    let duty_executor = DutyExecutor {
+        writer: writer(),
         keys: keys.clone(),
-        life: 1,
+        incarnation: 1,
         clock: Clock::new(),
-        halt: None,
-        names: DUTIES,
+        failpoint: None,
+        duty_names: DUTIES,
         events: event_sender.clone(),
     };
-    let (orders, _) = own.start();
-    orders.try_send(Order::Reach(Reach::default())).expect("room");
-    let agents = AgentExecutor {
-        hand: hand(),
+    let (duty_commands, _) = duty_executor.start();
+    duty_commands
+        .try_send(DutyCommand::Reachability(Reachability::default()))
+        .expect("the queue has capacity");
+    let agent_executor = AgentExecutor {
+        writer: writer(),
         store: store.clone(),
         keys: keys.clone(),
         events: event_sender.clone(),
     };
-    let (asks, _) = agents.start();
-    asks.try_send(Ask::Line("a job".to_owned())).expect("room");
-    let (_wanted, wanted) = watch::channel(Wanted::default());
-    let looker = Looker { store, keys, wanted, debts: false, sooner: Arc::default(), events: event_sender };
-    let _ = looker.start();
-    let mut over = BTreeSet::new();
-    while over.len() < 3 {
+    let (agent_requests, _) = agent_executor.start();
+    agent_requests.try_send(AgentRequest::ReadLine("a job".to_owned())).expect("the queue has capacity");
+    let (_poll_request, requests) = watch::channel(PollRequest::default());
+    let poller = Poller {
+        store,
+        keys,
+        requests,
+        debts_enabled: false,
+        poll_now: Arc::default(),
+        events: event_sender,
+    };
+    let _ = poller.start();
+    let mut failed = BTreeSet::new();
+    while failed.len() < 3 {
         match events.recv().await {
-            Some(Event::Over(why)) => {
-                _ = over.insert(why.split(" has failed").next().unwrap_or("").to_owned())
+            Some(Event::Terminated(why)) => {
+                _ = failed.insert(why.split(" has failed").next().unwrap_or("").to_owned())
             }
             Some(_) => {}
-            None => panic!("only {over:?} said that they have failed"),
+            None => panic!("only {failed:?} reported a failure"),
         }
     }
     let names = ["the executor for agents", "the executor for duties", "the look at the store for duties"];
-    assert_eq!(over, names.map(str::to_owned).into());
+    assert_eq!(failed, names.map(str::to_owned).into());
 }
