--- a/crates/ravenspar/src/work/agents.rs
+++ b/crates/ravenspar/src/work/agents.rs
@@ -23,12 +23,12 @@
             Message::Site { hello, before, .. } if hello.life > 0 && hello.life <= i64::MAX as u64 => {
                 self.agent_sessions.hello(self.context.clock.now(), stream, hello, before);
             }
-            Message::Site { .. } => self.close(stream, "expected an incarnation from 1 to 2^63 - 1"),
+            Message::Site { .. } => self.close(stream, "a life from 1 to 2^63 - 1 is expected"),
             Message::Keep { sent, held_jobs } => {
                 self.agent_sessions.keep(stream, sent, &held_jobs);
             }
             Message::Outcome { job, .. } if !rows::is_name(&job) => {
-                self.close(stream, "the message names an invalid job id")
+                self.close(stream, "no job has such an id")
             }
             Message::Outcome { job, token, ended } => {
                 if self.agent_sessions.outcome(stream, &job, token, ended)
--- a/crates/ravenspar/src/work/duties.rs
+++ b/crates/ravenspar/src/work/duties.rs
@@ -82,7 +82,9 @@
         });
         let reachability = Reachability { sites, poor: slow || reaches_few, ranking };
         // The ranking in use is reported with each epoch, not with each fold.
-        let reported = |of: &Reachability| (of.sites, of.poor, of.ranking.as_ref().map(|(epoch, ..)| *epoch));
+        let reported = |report: &Reachability| {
+            (report.sites, report.poor, report.ranking.as_ref().map(|(epoch, ..)| *epoch))
+        };
         if reported(&reachability) == reported(&self.reachability) || self.reachability_write_pending {
             return;
         }
