--- a/crates/ravenspar/src/shared/mod.rs
+++ b/crates/ravenspar/src/shared/mod.rs
@@ -1,5 +1,5 @@
-//! Sharing of slices between stewards: a steward's membership in the shared store, and the transactions by which slices are
-//! assigned to stewards.
+//! Sharing of slices between stewards: a steward's membership in the shared store, and the transactions by which
+//! slices are assigned to stewards.
 
 mod rows;
 mod session;
--- a/crates/ravenspar/src/shared/session.rs
+++ b/crates/ravenspar/src/shared/session.rs
@@ -63,8 +63,8 @@
 /// Capacity of the queue to the core; tasks wait while it is full.
 const EVENT_QUEUE_CAPACITY: usize = 64;
 
-/// Interval between polls of members and assignments. A planned hand-over waits half of it on average, while its forwarders
-/// keep their state; four small reads a second cost the store little.
+/// Interval between polls of members and assignments. A planned hand-over waits half of it on average, and its
+/// forwarders with it; four small reads a second cost the store little.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// How long a steward may go on after the store has ended its membership early: until its next poll, doubled.
@@ -130,8 +130,8 @@
 }
 
 impl Life {
-    /// Joins as a member. `number` is the incarnation, drawn at random and unique; `failpoint` is where a test makes its
-    /// fleet work crash or pause.
+    /// Joins as a member. `number` is the incarnation, drawn at random and unique; `failpoint` is where a test makes
+    /// its fleet work crash or pause.
     pub async fn join(
         joining: &Joining,
         number: u64,
@@ -156,8 +156,8 @@
         let joined = MemberWriter::join(store, keys, number, &member).await;
         let (writer, term) = joined.map_err(|stop| format!("{stop:?}"))?;
         let writer = Arc::new(Mutex::new(writer));
-        // Two polls pass before the first step, so that stewards that start together, or return with the store, share the
-        // slices from the start.
+        // Two polls pass before the first step, so that stewards that start together, or return with the store, share
+        // the slices from the start.
         let fleet = Fleet::new(clock.now(), number, joining.slices, joining.pace, EARLY);
         let (events, queue) = mpsc::channel(EVENT_QUEUE_CAPACITY);
         let recorder = Rc::new(Recorder::in_task(RecordWriter(writer.clone())));
@@ -198,8 +198,8 @@
         Ok(session)
     }
 
-    /// Starts a task of this incarnation. If it panics, the incarnation ends and the steward joins again: otherwise it would
-    /// go on with stale knowledge, or wait for a step that never ends.
+    /// Starts a task of this incarnation. If it panics, the incarnation ends and the steward joins again: otherwise
+    /// it would go on with stale knowledge, or wait for a step that never ends.
     fn start_task(&mut self, what: &'static str, task: impl Future<Output = ()> + Send + 'static) {
         self.tasks.retain(|task| !task.is_finished());
         self.tasks.push(watched(what, task, self.events.clone(), Event::Over));
@@ -264,13 +264,13 @@
         });
     }
 
-    /// Polls the store now.
+    /// Triggers a poll without waiting for the interval.
     pub fn look(&self) {
         self.poll_trigger.notify_one();
     }
 
-    /// Polls the store at the minimum interval, as a steward is gone from the view of the fleet: its membership ends at the
-    /// store within the time of a lease, and its slices may be taken from then on.
+    /// Polls the store at the minimum interval, as a steward is gone from the view of the fleet: its membership ends
+    /// at the store within the time of a lease, and its slices may be taken from then on.
     pub fn look_often(&self, now: Time) {
         self.frequent_polls_until
             .store(now + Time::from(self.joining.share.member_lease) * SECOND + SECOND, Ordering::Relaxed);
@@ -353,8 +353,8 @@
     }
 }
 
-/// A steward's membership ends this much earlier by its own clock: the time from a check of the clock until data is in the
-/// system's buffer.
+/// A steward's membership ends this much earlier by its own clock: the time from a check of the clock until data is
+/// in the system's buffer.
 const EXPIRY_MARGIN: Time = SECOND / 20;
 
 /// Takes slices over from the members in `gone`, and reads their records.
--- a/crates/ravenspar/src/shared/store.rs
+++ b/crates/ravenspar/src/shared/store.rs
@@ -47,7 +47,8 @@
     Ok(snapshot)
 }
 
-/// Reads the record of the slices from `first` to `last`, by pages at one revision. Slices without a record are left out.
+/// Reads the record of the slices from `first` to `last`, by pages at one revision. Slices without a record are left
+/// out.
 pub async fn record(
     store: &dyn Store,
     keys: &Keys,
@@ -59,8 +60,8 @@
     rows.iter().map(|row| decode_slice(&row.key, &row.value).map_err(Fault::Refused)).collect()
 }
 
-/// The fenced writer of one incarnation: all its writes to members and slices go through here, in order, and none takes
-/// effect once its lease has ended at the store.
+/// The fenced writer of one incarnation: all its writes to members and slices go through here, in order, and none
+/// takes effect once its lease has ended at the store.
 pub struct MemberWriter {
     writer: ravenspar_store::Hand,
     keys: Keys,
@@ -68,7 +69,8 @@
 }
 
 impl MemberWriter {
-    /// Joins as a member under the incarnation's lease, which has just been granted. Returns the revision as its term.
+    /// Joins as a member under the incarnation's lease, which has just been granted. Returns the revision as its
+    /// term.
     pub async fn join(
         store: Shared,
         keys: Keys,
@@ -104,8 +106,8 @@
         Ok(())
     }
 
-    /// Takes slices over, on condition that each assignment still has this term and that the members in `gone` are absent
-    /// from the store. Returns the new term.
+    /// Takes slices over, on condition that each assignment still has this term and that the members in `gone` are
+    /// absent from the store. Returns the new term.
     pub async fn take(&mut self, slices: &[(usize, u64)], gone: &[Life]) -> Result<u64, Stop> {
         let absent = gone.iter().map(|&incarnation| at(self.keys.member(incarnation), 0)).collect();
         self.assign(slices, absent, self.incarnation).await
@@ -135,8 +137,8 @@
     pub const MAX_SLICES: usize = MOST;
 }
 
-/// Returns an error message if a snapshot can't follow on the last seen cluster and revision, as it is of another store or
-/// of an older state.
+/// Returns an error message if a snapshot can't follow on the last seen cluster and revision, as it is of another
+/// store or of an older state.
 pub fn backward(snapshot: &Snapshot, seen: Option<(u64, u64)>) -> Option<String> {
     let (cluster, revision) = seen?;
     let found = (snapshot.cluster, snapshot.revision as i64);
--- a/crates/ravenspar/src/shared/tests.rs
+++ b/crates/ravenspar/src/shared/tests.rs
@@ -1,5 +1,5 @@
-//! Actions that rely on a member's key being absent: the transactions check that at the store themselves, so that a steward
-//! with stale knowledge, or a wrong view of the fleet, does no harm.
+//! Actions that rely on a member's key being absent: the transactions check that at the store themselves, so that a
+//! steward with stale knowledge, or a wrong view of the fleet, does no harm.
 
 use std::sync::Arc;
 
--- a/crates/ravenspar/src/work/agents.rs
+++ b/crates/ravenspar/src/work/agents.rs
@@ -1,5 +1,5 @@
-//! Communication with the agents of sites: handles their messages, and makes the calls to the store and the replies that
-//! follow from them.
+//! Communication with the agents of sites: handles their messages, and makes the calls to the store and the replies
+//! that follow from them.
 
 use ravenspar_jobs::{Act, Hello};
 use ravenspar_protocol::VERSION;
--- a/crates/ravenspar/src/work/duties.rs
+++ b/crates/ravenspar/src/work/duties.rs
@@ -18,7 +18,7 @@
     /// Updates the state of duties, jobs and rankings by what a poll has read.
     pub(super) fn handle_poll(&mut self, now: Time, poll: PollResult) {
         if std::mem::take(&mut self.store_unavailable) {
-            tracing::info!("the store answers polls of work for the fleet again");
+            tracing::info!("the store answers polls for fleet work again");
         }
         self.peer_reachability = poll.reaches.iter().filter_map(rows::reachability).collect();
         let members = poll.members.iter().filter_map(|row| {
@@ -75,7 +75,7 @@
             .iter()
             .filter(|(incarnation, _)| **incarnation != self.context.incarnation);
         let others: Vec<u32> = others.map(|(_, peer)| peer.sites as u32).collect();
-        let reaches_few = self.useful.look(now, sites as u32, Some(&others));
+        let reaches_few = self.rest_detector.look(now, sites as u32, Some(&others));
         let ranking = (self.books.revision() > 0).then(|| {
             let digest = self.books.ledger().digest().iter().map(|byte| format!("{byte:02x}")).collect();
             (self.books.epoch(), self.books.revision(), digest)
@@ -142,7 +142,8 @@
         self.duty_count.send_if_modified(|before| std::mem::replace(before, count) != count);
     }
 
-    /// As the leader of the duty of jobs, sends the scheduler's next writes to the store, under a permit of their own.
+    /// As the leader of the duty of jobs, sends the scheduler's next writes to the store, under a permit of their
+    /// own.
     pub(super) fn assign_jobs(&mut self) {
         let now = self.context.clock.now();
         let until = self.context.membership_status.borrow().until;
--- a/crates/ravenspar/src/work/executors.rs
+++ b/crates/ravenspar/src/work/executors.rs
@@ -1,5 +1,5 @@
-//! The tasks that access the store for the fleet work of one incarnation. Each has its own fenced writer, takes commands
-//! from a bounded queue, and sends an event with the outcome of each.
+//! The tasks that access the store for the fleet work of one incarnation. Each has its own fenced writer, takes
+//! commands from a bounded queue, and sends an event with the outcome of each.
 
 use ravenspar_debt::{Fact, Fold, Key, UseRow};
 use ravenspar_duty::{Duty, Step, Warrant};
@@ -29,7 +29,7 @@
     Reachability(Reachability),
 }
 
-/// Executes commands one after the other.
+/// Executes duty commands one at a time.
 pub struct DutyExecutor {
     pub writer: Hand,
     pub keys: Keys,
@@ -109,7 +109,8 @@
                 commit_event(committed, |revision| Event::LinesWritten { writes, revision })
             }
             DutyCommand::Fold { permit, fold } => {
-                // The unchanged revision of the ranking proves that there was no other fold, so that the known sums are current.
+                // The ranking's unchanged revision proves that no other fold came between, so the known sums are
+                // current.
                 let mut compare = vec![at(self.keys.ranking(), fold.seen)];
                 let mut then = vec![put(self.keys.ranking(), rows::encode(&fold.epoch), 0)];
                 for ((token, job), seen, row) in &fold.uses {
@@ -156,8 +157,8 @@
     }
 }
 
-/// Returns the event for a transaction: with its revision if it was committed and without one if a condition failed. If
-/// its outcome is unknown, the incarnation has to end.
+/// Returns the event for a transaction: with its revision if it was committed and without one if a condition failed.
+/// If its outcome is unknown, the incarnation has to end.
 fn commit_event(committed: Result<u64, Stop>, event: impl FnOnce(Option<u64>) -> Event) -> Event {
     match committed {
         Ok(revision) => event(Some(revision)),
@@ -310,8 +311,8 @@
         self.writer.commit(compare, then).await.map(|_| ())
     }
 
-    /// Merges uses with their entries in the store. Returns those that are stored now or were before; a use of a deleted job
-    /// is dropped and returned as well.
+    /// Merges uses with their entries in the store. Returns those that are stored now or were before; a use of a
+    /// deleted job is dropped and returned as well.
     async fn write_uses(&mut self, reported: &[ReportedUse]) -> Result<Vec<(Key, u64)>, Stop> {
         let range = |key: Vec<u8>| Range { key, end: Vec::new(), since: 0 };
         let ranges = reported.iter().flat_map(|use_| {
--- a/crates/ravenspar/src/work/executors/tests.rs
+++ b/crates/ravenspar/src/work/executors/tests.rs
@@ -1,5 +1,5 @@
-//! Actions that rely on a key's absence from the store: the transaction itself checks that, so that a steward with stale
-//! knowledge does no harm.
+//! Actions that rely on a key's absence from the store: the transaction itself checks that, so that a steward with
+//! stale knowledge does no harm.
 
 use std::sync::Arc;
 
--- a/crates/ravenspar/src/work/mod.rs
+++ b/crates/ravenspar/src/work/mod.rs
@@ -1,8 +1,9 @@
 //! Work on behalf of the whole fleet: the task of one incarnation that handles its duties and its agents' streams.
 //!
-//! The task owns all its state and communicates over bounded channels: with the executors that write to the store, with
-//! the task that polls it, with the streams of agents, and with the core, to which it reports its end. If it or one of
-//! those tasks panics, the incarnation ends: the steward joins again and continues from the state of the store.
+//! The task owns all its state and communicates over bounded channels: with the executors that write to the store,
+//! with the task that polls it, with the streams of agents, and with the core, to which it reports its end. If it or
+//! one of those tasks panics, the incarnation ends: the steward joins again and continues from the state of the
+//! store.
 
 mod agents;
 mod duties;
@@ -101,7 +102,8 @@
 /// Capacity of the task's event queue; senders wait while it is full.
 const EVENT_QUEUE_CAPACITY: usize = 256;
 
-/// Limit of concurrent calls for agents: registrations, renewals, ends. Beyond it they are dropped, as agents ask again.
+/// Limit of concurrent calls for agents: registrations, renewals, ends. Beyond it they are dropped, as agents ask
+/// again.
 const MAX_CALLS: usize = 256;
 
 /// Capacity of an agent's outbound queue, in frames: enough for all orders that one poll may bring for a large site.
@@ -150,6 +152,7 @@
 }
 
 impl Work {
+    /// Starts the task.
     pub fn start(context: WorkContext) -> Work {
         let (end_sender, ended) = mpsc::channel(1);
         let (duty_count, seen) = watch::channel(0);
@@ -180,11 +183,14 @@
     }
 }
 
+/// The state of the task.
 struct Task {
     context: WorkContext,
     duties: Duties,
+    /// Detects that this task runs late.
     pace: Pace,
-    useful: Useful,
+    /// Detects that this steward reaches few of the sites that the others reach.
+    rest_detector: Useful,
     reachability: Reachability,
     /// True while a write of `reachability` is in flight.
     reachability_write_pending: bool,
@@ -268,7 +274,7 @@
                 now + FIRST_CLAIM_DELAY,
             ),
             pace: Pace::default(),
-            useful: Useful::default(),
+            rest_detector: Useful::default(),
             reachability: Reachability::default(),
             reachability_write_pending: false,
             peer_reachability: BTreeMap::new(),
@@ -302,7 +308,7 @@
         }
     }
 
-    /// Returns the reason why this incarnation has to end.
+    /// Runs the task's loop. Returns the reason why this incarnation has to end.
     async fn run(mut self) -> String {
         loop {
             let now = self.context.clock.now();
@@ -382,7 +388,7 @@
             Event::Polled(poll) => self.handle_poll(now, *poll),
             Event::StoreUnavailable(why) => {
                 if !std::mem::replace(&mut self.store_unavailable, true) {
-                    tracing::warn!(%why, "the store does not answer polls of work for the fleet, they are retried");
+                    tracing::warn!(%why, "the store does not answer polls for fleet work; retrying");
                 }
             }
             Event::DutyStepDone { step, term } => {
@@ -403,7 +409,7 @@
                 }
             }
             Event::Folded { fold, revision } => self.handle_fold(now, fold, revision),
-            Event::Counted(handle_counted) => self.handle_counted(&handle_counted),
+            Event::Counted(counted) => self.handle_counted(&counted),
             Event::ReachabilityWritten => self.reachability_write_pending = false,
             Event::Registered { stream, incarnation } => self.agent_sessions.registered(stream, incarnation),
             Event::Renewed { stream, incarnation, sent, held } => {
--- a/crates/ravenspar/src/work/poll.rs
+++ b/crates/ravenspar/src/work/poll.rs
@@ -1,5 +1,5 @@
-//! The task that polls the store for the state that fleet work depends on: at each poll, what changed since the last one,
-//! read at one revision.
+//! The task that polls the store for the state that fleet work depends on: at each poll, what changed since the last
+//! one, read at one revision.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,19 +11,18 @@
 use crate::shared::Keys;
 use crate::watched::watched;
 
-/// Interval between polls. A job waits half of it on average before it reaches its site; five small reads a second cost the
-/// store little.
+/// Interval between polls. A job waits half of it on average before it reaches its site; five small reads a second
+/// cost the store little.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Minimum interval between polls that are triggered early.
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Number of polls between two that read all jobs, if jobs are requested at all: only a full read shows which jobs were
-/// deleted.
+/// Polls between two full reads, while jobs are requested: only a full read shows which jobs were deleted.
 const FULL_READ_EVERY: u32 = 150;
 
-/// What to read besides the small ranges. 0 requests nothing; a number that differs from the last one requests a full read,
-/// followed by the changes.
+/// What to read besides the small ranges. 0 requests nothing; a number that differs from the last one requests a full
+/// read, followed by the changes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PollRequest {
     /// The term of the jobs leader.
@@ -89,7 +88,7 @@
                             poll.ranking.as_ref().map_or(ranking_revision, |(row, _)| row.modified);
                         Event::Polled(Box::new(poll))
                     }
-                    Err(fault) => Event::StoreUnavailable(fault.to_string()),
+                    Err(e) => Event::StoreUnavailable(e.to_string()),
                 };
                 if self.events.send(event).await.is_err() {
                     return;
@@ -104,6 +103,7 @@
         watched("the look at the store for duties", task, events, Event::Terminated)
     }
 
+    /// Reads the state and what changed since the revision `since`; with `full`, all lines and jobs.
     async fn poll(
         &self,
         since: u64,
--- a/crates/ravenspar/src/work/uses.rs
+++ b/crates/ravenspar/src/work/uses.rs
@@ -1,5 +1,5 @@
-//! The use of resources: agents' reports are written to the store, and the leader of the duty of debts folds them into the
-//! ranking.
+//! The use of resources: agents' reports are written to the store, and the leader of the duty of debts folds them
+//! into the ranking.
 
 use std::collections::BTreeMap;
 
