--- a/crates/duty/src/duties.rs
+++ b/crates/duty/src/duties.rs
@@ -2,12 +2,12 @@
 
 use std::collections::BTreeMap;
 
-use crate::{Duty, Life, Term, Time};
+use crate::{Duty, Incarnation, Term, Time};
 
 /// A member of the fleet, as the store has it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
-    pub life: Life,
+    pub life: Incarnation,
     pub leaving: bool,
     /// The member reports itself unfit for duties: it is slow, or reaches far fewer sites than other members do.
     pub poor: bool,
@@ -16,7 +16,7 @@
 /// The leader of a duty and its term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Claim {
-    pub owner: Life,
+    pub owner: Incarnation,
     pub term: Term,
 }
 
@@ -27,13 +27,13 @@
     Claim { duty: Duty },
     /// Write the claim for another member, bound to that member's membership, if the claim has this term and the
     /// other is a member. This steward stops acting on the duty as soon as the step is returned.
-    Give { duty: Duty, term: Term, to: Life },
+    Give { duty: Duty, term: Term, to: Incarnation },
 }
 
 /// One steward's view of the duties: what it leads, and what it should claim or hand over.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Duties {
-    me: Life,
+    me: Incarnation,
     claims: Vec<Option<Claim>>,
     members: Vec<Member>,
     /// The terms of the duties that this steward leads.
@@ -54,7 +54,7 @@
     pub const HAND_OVER_DELAY: Time = 50_000;
 
     /// `claim_at`: when claims may begin, a few polls of the store after joining.
-    pub fn new(me: Life, duties: usize, claim_at: Time) -> Duties {
+    pub fn new(me: Incarnation, duties: usize, claim_at: Time) -> Duties {
         Duties {
             me,
             claims: vec![None; duties],
@@ -99,14 +99,14 @@
     }
 
     /// Returns true if the incarnation was a member in the last snapshot.
-    pub fn is_member(&self, life: Life) -> bool {
+    pub fn is_member(&self, life: Incarnation) -> bool {
         self.members.iter().any(|member| member.life == life)
     }
 
     /// The members that duties are assigned to: those that stay and are fit, or all that stay if none of them is fit.
-    fn candidates(&self) -> Vec<Life> {
+    fn candidates(&self) -> Vec<Incarnation> {
         let stay = || self.members.iter().filter(|member| !member.leaving);
-        let well: Vec<Life> = stay().filter(|member| !member.poor).map(|member| member.life).collect();
+        let well: Vec<Incarnation> = stay().filter(|member| !member.poor).map(|member| member.life).collect();
         if well.is_empty() {
             stay().map(|member| member.life).collect()
         } else {
@@ -116,13 +116,13 @@
 
     /// Assigns duties evenly. A duty stays with its leader if that one has no more than its share; the others go to
     /// the member with the fewest. The same members and claims give the same assignment at every steward.
-    fn assignment(&self) -> Vec<Option<Life>> {
+    fn assignment(&self) -> Vec<Option<Incarnation>> {
         let candidates = self.candidates();
         if candidates.is_empty() {
             return vec![None; self.claims.len()];
         }
         let max_per_member = self.claims.len().div_ceil(candidates.len());
-        let mut counts: BTreeMap<Life, usize> = candidates.iter().map(|&life| (life, 0)).collect();
+        let mut counts: BTreeMap<Incarnation, usize> = candidates.iter().map(|&life| (life, 0)).collect();
         let mut assignment = vec![None; self.claims.len()];
         for (leader, claim) in assignment.iter_mut().zip(&self.claims) {
             let Some(claim) = claim else { continue };
--- a/crates/duty/src/lib.rs
+++ b/crates/duty/src/lib.rs
@@ -15,7 +15,7 @@
 pub use effect_receiver::{Refused, Taken, Taker};
 pub use pace::Pace;
 pub use permit::{Tenure, Warrant};
-pub use ravenspar_sharing::{Life, Time};
+pub use ravenspar_sharing::{Incarnation, Time};
 
 /// The store revision of a duty's claim. It grows with each new leader of the duty.
 pub type Term = u64;
--- a/crates/duty/tests/owners.rs
+++ b/crates/duty/tests/owners.rs
@@ -1,7 +1,7 @@
 //! Several stewards claim and hand over duties at a model of the store.
 
 use proptest::prelude::*;
-use ravenspar_duty::{Claim, Duties, Life, Member, Step, Time};
+use ravenspar_duty::{Claim, Duties, Incarnation, Member, Step, Time};
 
 /// A model of the store, with members and the claims bound to them. The revision grows with each claim.
 struct Fleet {
@@ -9,7 +9,7 @@
     revision: u64,
     members: Vec<Member>,
     claims: Vec<Option<Claim>>,
-    stewards: Vec<(Life, Duties, Option<Step>)>,
+    stewards: Vec<(Incarnation, Duties, Option<Step>)>,
     changes: usize,
 }
 
@@ -25,17 +25,17 @@
         }
     }
 
-    fn join(&mut self, life: Life) {
+    fn join(&mut self, life: Incarnation) {
         self.members.push(Member { life, leaving: false, poor: false });
         self.stewards.push((life, Duties::new(life, self.claims.len(), self.now + 5_000), None));
     }
 
-    fn drop_member(&mut self, life: Life) {
+    fn drop_member(&mut self, life: Incarnation) {
         self.members.retain(|member| member.life != life);
         self.claims.iter_mut().for_each(|claim| *claim = claim.filter(|claim| claim.owner != life));
     }
 
-    fn is_member(&self, life: Life) -> bool {
+    fn is_member(&self, life: Incarnation) -> bool {
         self.members.iter().any(|member| member.life == life)
     }
 
@@ -83,7 +83,7 @@
         }
     }
 
-    fn leaders(&self) -> Vec<Option<Life>> {
+    fn leaders(&self) -> Vec<Option<Incarnation>> {
         self.claims.iter().map(|claim| claim.map(|claim| claim.owner)).collect()
     }
 }
--- a/crates/host/benches/host.rs
+++ b/crates/host/benches/host.rs
@@ -37,7 +37,7 @@
         }
         now += SECOND / 4;
     }
-    assert_eq!(host.figures().joined, proxies);
+    assert_eq!(host.metrics().joined, proxies);
     (host, now)
 }
 
--- a/crates/host/src/channel.rs
+++ b/crates/host/src/channel.rs
@@ -8,7 +8,7 @@
 use std::collections::{BinaryHeap, VecDeque};
 
 use bytes::Bytes;
-use ravenspar_protocol::{kind, tag, Frame, MOST_DOWN};
+use ravenspar_protocol::{kind, tag, Frame, MAX_BODY_FROM_STEWARD};
 use ravenspar_steward::{Time, SECOND};
 
 use crate::limits::Limits;
@@ -203,7 +203,7 @@
         let (mut cost, mut epoch) = (limits.message_overhead, None);
         while position.next < self.durable {
             let update = &mut self.updates[(position.next - self.first) as usize];
-            if frame.len() > 1 && frame.len() + update.fields.len() + 16 > MOST_DOWN {
+            if frame.len() > 1 && frame.len() + update.fields.len() + 16 > MAX_BODY_FROM_STEWARD {
                 break;
             }
             frame.append(&update.fields);
--- a/crates/host/src/host.rs
+++ b/crates/host/src/host.rs
@@ -91,7 +91,7 @@
         list: &[(Server, Health, Time)],
         record: &[(usize, String, f64)],
     ) -> Result<Host, &'static str> {
-        let mut host = Host::sharing(now, seed, cfg, term, list)?;
+        let mut host = Host::without_slices(now, seed, cfg, term, list)?;
         host.table = Table::new(host.limits.slices, term);
         host.terms = vec![term; host.limits.slices];
         (0..host.limits.slices).for_each(|slice| host.steward.given(now, slice));
@@ -108,7 +108,7 @@
     }
 
     /// Creates the host of a steward in a fleet, with no slices assigned yet; see [`Host::charged`].
-    pub fn sharing(
+    pub fn without_slices(
         now: Time,
         seed: u64,
         cfg: Settings,
@@ -170,7 +170,7 @@
     }
 
     /// Returns the current metrics.
-    pub fn figures(&self) -> Metrics {
+    pub fn metrics(&self) -> Metrics {
         Metrics {
             joined: self.joined,
             waiting: self.channel.waiting(),
--- a/crates/host/src/host/messages.rs
+++ b/crates/host/src/host/messages.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 
 use bytes::Bytes;
-use ravenspar_protocol::{kind, tag, Body, Fault, Frame, VERSION};
+use ravenspar_protocol::{kind, tag, Body, DecodeError, Frame, VERSION};
 use ravenspar_steward::Time;
 
 use super::Host;
@@ -15,7 +15,7 @@
 const CLOCK_DRIFT_DIVISOR: Time = 64;
 
 impl Host {
-    pub(super) fn hello(&mut self, now: Time, stream: u64, mut body: Body) -> Result<(), Fault> {
+    pub(super) fn hello(&mut self, now: Time, stream: u64, mut body: Body) -> Result<(), DecodeError> {
         let (mut version, mut number, mut boot, mut baseline, mut zone) = (0, None, 0, 0.0, "");
         while let Some((tag, mut field)) = body.field()? {
             match tag {
@@ -99,7 +99,7 @@
     }
 
     /// Handles the answer to an epoch or an end.
-    pub(super) fn answer(&mut self, now: Time, proxy: usize, mut body: Body) -> Result<(), Fault> {
+    pub(super) fn answer(&mut self, now: Time, proxy: usize, mut body: Body) -> Result<(), DecodeError> {
         while let Some((tag, mut field)) = body.field()? {
             if tag == tag::END {
                 let end = field.number()?;
@@ -163,7 +163,7 @@
     }
 
     /// Handles a ping; it is echoed as soon as the stream allows.
-    pub(super) fn ping(&mut self, now: Time, stream: u64, mut body: Body) -> Result<(), Fault> {
+    pub(super) fn ping(&mut self, now: Time, stream: u64, mut body: Body) -> Result<(), DecodeError> {
         while let Some((tag, mut field)) = body.field()? {
             if let (tag::SENT, Some(entry)) = (tag, self.streams.get_mut(&stream)) {
                 entry.unechoed_ping = Some(field.number()?);
@@ -174,7 +174,7 @@
     }
 
     /// Handles a traffic report; invalid entries are ignored.
-    pub(super) fn report(&mut self, proxy: usize, mut body: Body) -> Result<(), Fault> {
+    pub(super) fn report(&mut self, proxy: usize, mut body: Body) -> Result<(), DecodeError> {
         let zone = self.proxies[proxy].zone;
         while let Some((tag, mut field)) = body.field()? {
             match tag {
--- a/crates/host/src/host/streams.rs
+++ b/crates/host/src/host/streams.rs
@@ -2,7 +2,7 @@
 
 use std::cmp::Reverse;
 
-use ravenspar_protocol::{kind, tag, Body, Fault, Frame};
+use ravenspar_protocol::{kind, tag, Body, DecodeError, Frame};
 use ravenspar_steward::Time;
 
 use super::Host;
@@ -27,7 +27,7 @@
             (kind::PING, Some(_)) => self.ping(now, stream, body),
             (kind::REPORT, Some(proxy)) => self.report(proxy, body),
             (_, Some(_)) => Ok(()),
-            (_, None) => Err(Fault::Empty),
+            (_, None) => Err(DecodeError::Empty),
         });
         if read.is_err() {
             self.close(now, stream, CloseReason::Fault);
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -18,7 +18,7 @@
 use bytes::Bytes;
 
 pub use host::{Host, Metrics};
-pub use ownership::Charged;
+pub use ownership::AssignedSlice;
 pub use servers::Server;
 
 /// An action for the runtime, to be carried out in the order in which it was pulled.
--- a/crates/host/src/ownership.rs
+++ b/crates/host/src/ownership.rs
@@ -9,7 +9,7 @@
 
 /// A slice that has been assigned to this steward, with its recorded state.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Charged {
+pub struct AssignedSlice {
     pub slice: usize,
     /// The term of the assignment, larger than those of all earlier assignments of the slice.
     pub term: u64,
@@ -25,9 +25,9 @@
     /// Assigns slices, in ascending order, to this steward. Their record must have been read **after** the assignment
     /// took effect. Proxies are notified before any decision on the slices. A slice that was moving between servers waits
     /// for a lease and settles again; one open to reads alone is revoked and then does the same; no slice opens early.
-    pub fn charged(&mut self, now: Time, slices: &[Charged]) {
-        let known = |assigned: &&Charged| assigned.slice < self.limits.slices && assigned.term > 0;
-        let slices: Vec<&Charged> = slices.iter().filter(known).collect();
+    pub fn assign(&mut self, now: Time, slices: &[AssignedSlice]) {
+        let known = |assigned: &&AssignedSlice| assigned.slice < self.limits.slices && assigned.term > 0;
+        let slices: Vec<&AssignedSlice> = slices.iter().filter(known).collect();
         if slices.is_empty() {
             return;
         }
@@ -59,7 +59,7 @@
     /// Releases slices, in ascending order; must be called **before** any other steward can learn of the release.
     /// Decisions already made on them are still published ahead of it. From now on a proxy is echoed only once it has
     /// applied the release, so that one lease later no proxy holds a lease of this steward on any of the slices.
-    pub fn left(&mut self, slices: &[usize]) {
+    pub fn release(&mut self, slices: &[usize]) {
         let slices: Vec<usize> = slices.iter().copied().filter(|slice| *slice < self.limits.slices).collect();
         if slices.is_empty() {
             return;
@@ -90,7 +90,7 @@
     }
 
     /// Returns how many more lines may be queued before decisions are postponed.
-    pub fn room(&self) -> u64 {
+    pub fn spare_lines(&self) -> u64 {
         self.limits.max_waiting.saturating_sub(self.channel.waiting())
     }
 
--- a/crates/host/tests/charges.rs
+++ b/crates/host/tests/charges.rs
@@ -3,19 +3,20 @@
 mod common;
 
 use common::*;
-use ravenspar_host::{Charged, Host, Output};
+use ravenspar_host::{AssignedSlice, Host, Output};
 use ravenspar_protocol::{kind, tag};
 use ravenspar_steward::{Health, Scope, Time, SECOND};
 
 fn host_without_slices(now: Time, slices: usize, proxies: usize, servers: &[&str]) -> Host {
-    let mut host = Host::sharing(now, 7, settings(slices, proxies), 5, &[]).expect("settings are complete");
+    let mut host =
+        Host::without_slices(now, 7, settings(slices, proxies), 5, &[]).expect("settings are complete");
     list(&mut host, servers, Health::Ready);
     host
 }
 
-fn assigned_slice(slice: usize, term: u64, owner: Option<(&str, f64)>) -> Charged {
+fn assigned_slice(slice: usize, term: u64, owner: Option<(&str, f64)>) -> AssignedSlice {
     let owner = owner.map(|(id, weight)| (id.to_owned(), weight, 0));
-    Charged { slice, term, echoed_until: Some(0), owner }
+    AssignedSlice { slice, term, echoed_until: Some(0), owner }
 }
 
 fn join(host: &mut Host, now: Time, stream: u64, proxy: u64) {
@@ -36,7 +37,7 @@
     join(&mut host, 0, 1, 0);
     let frames = run_for_span(&mut host, 0, 3 * (LEASE + SETTLE), &[1]);
     assert!(numbers_with_tag(&frames, tag::LINE).is_empty());
-    host.charged(0, &[assigned_slice(1, 9, None), assigned_slice(2, 9, None)]);
+    host.assign(0, &[assigned_slice(1, 9, None), assigned_slice(2, 9, None)]);
     let now = 3 * (LEASE + SETTLE);
     let frames = run_for_span(&mut host, now, now + 3 * (LEASE + SETTLE), &[1]);
     assert_eq!(numbers_with_tag(&frames, tag::CHARGE), [1], "two slices in one run");
@@ -56,8 +57,8 @@
     let before = run_for_span(&mut host, 0, at, &[1]);
     assert!(numbers_with_tag(&before, tag::LINE).is_empty());
     let lead = SECOND / 2;
-    let moving = Charged { echoed_until: Some(at + lead), ..assigned_slice(0, 9, None) };
-    host.charged(at, &[moving, assigned_slice(1, 9, Some(("a", 0.5)))]);
+    let moving = AssignedSlice { echoed_until: Some(at + lead), ..assigned_slice(0, 9, None) };
+    host.assign(at, &[moving, assigned_slice(1, 9, Some(("a", 0.5)))]);
     let mut now = at;
     let (mut granted, mut opened) = (None, None);
     while now < at + 4 * (LEASE + SETTLE) {
@@ -80,10 +81,10 @@
 #[test]
 fn a_proxy_that_has_not_applied_a_release_is_not_echoed() {
     let mut host = host_without_slices(0, 2, 2, &["a"]);
-    host.charged(0, &[assigned_slice(0, 9, Some(("a", 1.0))), assigned_slice(1, 9, Some(("a", 1.0)))]);
+    host.assign(0, &[assigned_slice(0, 9, Some(("a", 1.0))), assigned_slice(1, 9, Some(("a", 1.0)))]);
     join(&mut host, 0, 1, 0);
     join(&mut host, 0, 2, 1);
-    host.left(&[0]);
+    host.release(&[0]);
     let frames = settle(&mut host, 10);
     assert_eq!(numbers_with_tag(&frames, tag::LEFT), [0, 0]);
     // Only the first proxy answers.
@@ -106,8 +107,9 @@
     let at = 5 * SECOND;
     run_for_span(&mut host, 0, at, &[1]);
     let lead = SECOND / 2;
-    let taken_over = Charged { echoed_until: Some(at + lead), ..assigned_slice(0, 9, Some(("a", 1.0))) };
-    host.charged(at, &[taken_over]);
+    let taken_over =
+        AssignedSlice { echoed_until: Some(at + lead), ..assigned_slice(0, 9, Some(("a", 1.0))) };
+    host.assign(at, &[taken_over]);
     run_for_span(&mut host, at, at + SECOND / 10, &[1]);
     host.list_begin(Scope::Whole);
     host.list_entry("a", "zone", "127.0.0.1:1", Health::Draining, 0);
@@ -135,7 +137,7 @@
     let mut host = host_without_slices(0, 1, 1, &["a", "b"]);
     join(&mut host, 0, 1, 0);
     let owner = Some(("a".to_owned(), 1.0, 77));
-    host.charged(0, &[Charged { slice: 0, term: 9, echoed_until: None, owner }]);
+    host.assign(0, &[AssignedSlice { slice: 0, term: 9, echoed_until: None, owner }]);
     assert_eq!(host.boot(server_index(&host, "a")), 77);
     run_for_span(&mut host, 0, SECOND, &[1]);
     // The list now shows that start, with the server draining: the slice is revoked and settles as usual.
--- a/crates/host/tests/streams.rs
+++ b/crates/host/tests/streams.rs
@@ -38,10 +38,10 @@
     host.frame(0, 9, &ping(5));
     let frames = settle(&mut host, 10);
     assert_eq!(kinds(&frames, 9), [kind::WELCOME, kind::READ]);
-    assert_eq!(host.figures().joined, 0);
+    assert_eq!(host.metrics().joined, 0);
     answer_all(&mut host, 20, &frames);
     let frames = settle(&mut host, 20);
-    assert_eq!(host.figures().joined, 1);
+    assert_eq!(host.metrics().joined, 1);
     let (kind, sent) = read(&frames[0].1, tag::SENT);
     assert_eq!((kind, sent), (kind::ECHO, vec![5]));
 }
@@ -120,10 +120,10 @@
     host.opened(10, 2);
     host.frame(10, 2, &hello(0, 1));
     assert_eq!(closes(&mut host, 10), [(1, CloseReason::Replaced)]);
-    let stray = host.figures().stray_answers;
+    let stray = host.metrics().stray_answers;
     host.frame(11, 1, &answer(tag::END, 0));
-    assert_eq!(host.figures().joined, 0);
-    assert_eq!(host.figures().stray_answers, stray, "a frame on a closed stream is ignored");
+    assert_eq!(host.metrics().joined, 0);
+    assert_eq!(host.metrics().stray_answers, stray, "a frame on a closed stream is ignored");
 }
 
 #[test]
@@ -132,7 +132,7 @@
     join(&mut host, 0, 1, 0, 1);
     host.frame(1, 1, &answer(tag::MARK, 1));
     host.frame(1, 1, &answer(tag::END, 12));
-    assert_eq!(host.figures().stray_answers, 2);
+    assert_eq!(host.metrics().stray_answers, 2);
 }
 
 /// Guards against a proxy that reads nothing and rejoins whenever its stream is closed: each join used to restart the
@@ -230,7 +230,7 @@
                     }
                 }
             }
-            (seen, host.figures())
+            (seen, host.metrics())
         };
         prop_assert_eq!(run(), run());
     }
--- a/crates/jobs/src/agent_sessions.rs
+++ b/crates/jobs/src/agent_sessions.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use crate::{decide_outcome, Ended, Life, Line, State, Time, Token, Verdict};
+use crate::{decide_outcome, Ended, Incarnation, Line, State, Time, Token, Verdict};
 
 /// An action that the caller carries out.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -12,15 +12,15 @@
     /// Create the site's lease and key if they don't exist.
     Register { stream: u64, site: Hello },
     /// End incarnations that are over according to their agent.
-    End { lives: Vec<Life> },
+    End { lives: Vec<Incarnation> },
     /// Renew the incarnation, then call [`Desk::renewed`].
-    Renew { stream: u64, life: Life, sent: u64 },
+    Renew { stream: u64, life: Incarnation, sent: u64 },
     /// Tell the agent that the renewal sent at `sent` was carried out.
-    Kept { stream: u64, life: Life, sent: u64 },
+    Kept { stream: u64, life: Incarnation, sent: u64 },
     /// Tell the agent that the incarnation is over at the store.
-    Over { stream: u64, life: Life },
+    Over { stream: u64, life: Incarnation },
     /// Order the agent to begin a job.
-    Give { stream: u64, term: u64, life: Life, job: String, token: Token },
+    Give { stream: u64, term: u64, life: Incarnation, job: String, token: Token },
     /// Order the agent to stop a job.
     Stop { stream: u64, term: u64, job: String, token: Token },
     /// Write the line if its revision is still `seen`, then call [`Desk::settled`].
@@ -34,7 +34,7 @@
 /// What an agent reports of itself at the start of a session or of an incarnation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Hello {
-    pub life: Life,
+    pub life: Incarnation,
     pub boot: u64,
     pub room: usize,
     pub name: String,
@@ -78,7 +78,7 @@
     /// come.
     lines: BTreeMap<String, (Line, u64)>,
     /// The jobs that each incarnation holds.
-    held: BTreeMap<Life, BTreeMap<String, Token>>,
+    held: BTreeMap<Incarnation, BTreeMap<String, Token>>,
     settling: BTreeMap<String, Settling>,
     /// The highest term of the duty seen.
     term: u64,
@@ -130,7 +130,7 @@
 
     /// An agent opens its session, or continues as another incarnation. `before`: its earlier incarnations, which are
     /// over.
-    pub fn hello(&mut self, now: Time, stream: u64, hello: Hello, before: Vec<Life>) {
+    pub fn hello(&mut self, now: Time, stream: u64, hello: Hello, before: Vec<Incarnation>) {
         if !before.is_empty() {
             self.actions.push_back(Act::End { lives: before });
         }
@@ -140,7 +140,7 @@
 
     /// A registration was tried. If it was not carried out, another steward was quicker or the incarnation is over:
     /// the next renewal shows which.
-    pub fn registered(&mut self, stream: u64, life: Life) {
+    pub fn registered(&mut self, stream: u64, life: Incarnation) {
         if let Some(agent) = self.agents.get_mut(&stream).filter(|agent| agent.hello.life == life) {
             agent.registered = true;
         }
@@ -191,7 +191,7 @@
     }
 
     /// Completes a renewal; `None` if its result is unknown.
-    pub fn renewed(&mut self, stream: u64, life: Life, sent: u64, held: Option<bool>) {
+    pub fn renewed(&mut self, stream: u64, life: Incarnation, sent: u64, held: Option<bool>) {
         let Some(agent) = self.agents.get_mut(&stream) else { return };
         agent.renewals = agent.renewals.saturating_sub(1);
         match held {
@@ -244,7 +244,7 @@
         self.known_revision = self.known_revision.max(revision);
     }
 
-    fn streams(&self, life: Life) -> Vec<u64> {
+    fn streams(&self, life: Incarnation) -> Vec<u64> {
         let matching = self.agents.iter().filter(|(_, agent)| agent.hello.life == life);
         matching.map(|(stream, _)| *stream).collect()
     }
@@ -305,7 +305,7 @@
 mod tests {
     use super::*;
 
-    fn hello(life: Life) -> Hello {
+    fn hello(life: Incarnation) -> Hello {
         Hello { life, boot: 1, room: 4, name: "north".to_owned() }
     }
 
@@ -317,7 +317,7 @@
         all.iter().map(|(job, token)| ((*job).to_owned(), *token)).collect()
     }
 
-    fn leased(life: Life) -> Line {
+    fn leased(life: Incarnation) -> Line {
         Line::new(State::Leased(life))
     }
 
--- a/crates/jobs/src/job_agent.rs
+++ b/crates/jobs/src/job_agent.rs
@@ -5,7 +5,7 @@
 use ravenspar_duty::{Refused, Taken, Taker};
 use ravenspar_sharing::membership::Membership;
 
-use crate::{Ended, Life, Time, Token};
+use crate::{Ended, Incarnation, Time, Token};
 
 /// A job that the agent holds a lease of.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -31,7 +31,7 @@
 /// could not renew it in time. The agent counts from when each renewal was *sent*.
 #[derive(Clone, Debug)]
 pub struct Holder {
-    life: Life,
+    life: Incarnation,
     membership: Membership,
     capacity: usize,
     held: BTreeMap<String, HeldJob>,
@@ -48,7 +48,7 @@
     const MAX_REMEMBERED_JOBS: usize = 10_000;
 
     /// `lease` is the lease of its incarnations at the store, `margin` the time that it takes to stop a job.
-    pub fn new(life: Life, lease: Time, margin: Time, capacity: usize) -> Holder {
+    pub fn new(life: Incarnation, lease: Time, margin: Time, capacity: usize) -> Holder {
         Holder {
             life,
             membership: Membership::new(lease, margin),
@@ -61,7 +61,7 @@
     }
 
     /// The current incarnation.
-    pub fn life(&self) -> Life {
+    pub fn life(&self) -> Incarnation {
         self.life
     }
 
@@ -82,7 +82,7 @@
     }
 
     /// A renewal that was sent at `sent` for an incarnation was carried out.
-    pub fn renewed(&mut self, life: Life, sent: Time) {
+    pub fn renewed(&mut self, life: Incarnation, sent: Time) {
         if life == self.life {
             self.membership.renewed(sent);
         }
@@ -104,14 +104,22 @@
     }
 
     /// Ends the incarnation and begins `next`. Returns the jobs that were held, all of which must stop.
-    pub fn over(&mut self, next: Life, lease: Time, margin: Time) -> Vec<(String, HeldJob)> {
+    pub fn over(&mut self, next: Incarnation, lease: Time, margin: Time) -> Vec<(String, HeldJob)> {
         self.life = next;
         self.membership = Membership::new(lease, margin);
         std::mem::take(&mut self.held).into_iter().collect()
     }
 
     /// Handles an order to begin a job, sent on behalf of the duty's leader under a term to an incarnation.
-    pub fn begin(&mut self, now: Time, term: u64, life: Life, job: &str, token: Token, spec: &str) -> Told {
+    pub fn begin(
+        &mut self,
+        now: Time,
+        term: u64,
+        life: Incarnation,
+        job: &str,
+        token: Token,
+        spec: &str,
+    ) -> Told {
         let record = match self.effect_receiver.take((), term) {
             Err(Refused { holds }) => return Told::Refused(holds),
             Ok(taken) => taken == Taken::Record,
--- a/crates/jobs/src/job_line.rs
+++ b/crates/jobs/src/job_line.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Life, Token};
+use crate::{Incarnation, Token};
 
 /// A job as it was submitted. Unknown fields are for its submitter and the agent only.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -22,9 +22,9 @@
 pub enum State {
     Waiting,
     /// Leased to the site of this incarnation; the line's revision is the token.
-    Leased(Life),
+    Leased(Incarnation),
     /// Cancelled while it was leased: the site stops it, or its incarnation ends.
-    Ending(Life),
+    Ending(Incarnation),
     Done,
     /// Given up for good, with the reason in `why`.
     Parked,
@@ -64,7 +64,7 @@
     }
 
     /// Returns the site that holds the job.
-    pub fn site(&self) -> Option<Life> {
+    pub fn site(&self) -> Option<Incarnation> {
         match self.state {
             State::Leased(site) | State::Ending(site) => Some(site),
             _ => None,
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -18,7 +18,7 @@
 pub use agent_sessions::{Act, Desk, Hello, Metrics as DeskFigures};
 pub use job_agent::{HeldJob, Holder, Told};
 pub use job_line::{decide_outcome, Ended, Job, Line, State, Verdict};
-pub use ravenspar_sharing::{Life, Time};
+pub use ravenspar_sharing::{Incarnation, Time};
 pub use scheduler::{Giver, Limits, Metrics, Site, Write};
 
 /// The revision of the write by which a job was leased to a site.
--- a/crates/jobs/src/scheduler.rs
+++ b/crates/jobs/src/scheduler.rs
@@ -4,12 +4,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
-use crate::{Job, Life, Line, State, Time};
+use crate::{Incarnation, Job, Line, State, Time};
 
 /// A site as the store has it. Its key exists as long as the lease of its incarnation does.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Site {
-    pub life: Life,
+    pub life: Incarnation,
     pub name: String,
     /// The number of jobs that it can run at a time.
     pub room: usize,
@@ -42,9 +42,9 @@
     pub seen: u64,
     pub line: Line,
     /// The site whose key must exist (the job is leased to it).
-    pub there: Option<Life>,
+    pub there: Option<Incarnation>,
     /// The site whose key must be gone (its lease is ended).
-    pub gone: Option<Life>,
+    pub gone: Option<Incarnation>,
     /// The line is deleted: the job is over, and its submitter has deleted it.
     pub delete: bool,
 }
@@ -97,7 +97,7 @@
     limits: Limits,
     term: u64,
     entries: BTreeMap<String, Entry>,
-    sites: BTreeMap<Life, KnownSite>,
+    sites: BTreeMap<Incarnation, KnownSite>,
     /// Waiting jobs of each user, the oldest first.
     waiting: BTreeMap<String, BTreeSet<(u64, String)>>,
     /// All waiting jobs by when they were first seen waiting, for the limit on the wait.
@@ -188,10 +188,11 @@
 
     /// Takes all sites whose keys are at the store.
     pub fn sites(&mut self, now: Time, sites: Vec<Site>) {
-        let present: BTreeSet<Life> = sites.iter().map(|site| site.life).collect();
+        let present: BTreeSet<Incarnation> = sites.iter().map(|site| site.life).collect();
         let mut names: BTreeSet<String> = self.sites.values().map(|known| known.site.name.clone()).collect();
         names.extend(sites.iter().map(|site| site.name.clone()));
-        let gone: Vec<Life> = self.sites.keys().filter(|life| !present.contains(life)).copied().collect();
+        let gone: Vec<Incarnation> =
+            self.sites.keys().filter(|life| !present.contains(life)).copied().collect();
         for life in gone {
             // A site that is back under another incarnation at once is not lost.
             if let Some(known) = self.sites.remove(&life) {
@@ -442,7 +443,7 @@
     /// Leases waiting jobs to sites with free capacity: first those that have waited too long, then those of the
     /// users who owe least.
     fn assign(&mut self, now: Time) -> Vec<Write> {
-        let mut capacities: Vec<(usize, Life)> =
+        let mut capacities: Vec<(usize, Incarnation)> =
             self.sites.values().map(|known| (self.free_capacity(now, known), known.site.life)).collect();
         let mut writes: Vec<Write> = Vec::new();
         let mut chosen: BTreeSet<String> = BTreeSet::new();
--- a/crates/jobs/tests/explore.rs
+++ b/crates/jobs/tests/explore.rs
@@ -14,7 +14,7 @@
 
 use ravenspar_duty::{Claim, Duties, Member, Step, Taker};
 use ravenspar_jobs::{
-    decide_outcome, Ended, Giver, Job, Life, Limits, Line, Site, State, Token, Verdict, Write,
+    decide_outcome, Ended, Giver, Incarnation, Job, Limits, Line, Site, State, Token, Verdict, Write,
 };
 
 const STEWARDS: usize = 2;
@@ -57,7 +57,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Steward {
-    life: Life,
+    life: Incarnation,
     /// Its membership is over by its own clock.
     expired: bool,
     duties: Duties,
@@ -71,7 +71,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Agent {
-    life: Life,
+    life: Incarnation,
     expired: bool,
     /// The jobs held: the token, and how many steps are known to have landed. With `None` the agent has to ask.
     held: BTreeMap<&'static str, (Token, Option<u64>)>,
@@ -85,10 +85,10 @@
 struct World {
     without: Without,
     revision: u64,
-    next_life: Life,
-    members: BTreeSet<Life>,
+    next_life: Incarnation,
+    members: BTreeSet<Incarnation>,
     claim: Option<Claim>,
-    sites: BTreeSet<Life>,
+    sites: BTreeSet<Incarnation>,
     lines: BTreeMap<&'static str, (Line, u64)>,
     stewards: Vec<Steward>,
     agents: Vec<Agent>,
@@ -98,7 +98,7 @@
     effects: BTreeMap<(&'static str, u64), u32>,
     highest_term: u64,
     /// Requests of incarnations that are over, still on their way to the store.
-    late_requests: Vec<(Life, Request)>,
+    late_requests: Vec<(Incarnation, Request)>,
     violation: Option<&'static str>,
 }
 
@@ -128,16 +128,16 @@
 impl World {
     fn new(without: Without) -> World {
         let steward = |n: usize| Steward {
-            life: n as Life + 1,
+            life: n as Incarnation + 1,
             expired: false,
-            duties: Duties::new(n as Life + 1, 1, 0),
+            duties: Duties::new(n as Incarnation + 1, 1, 0),
             scheduler: None,
             request: None,
             lines: BTreeMap::new(),
             settling: None,
         };
         let agent = |n: usize| Agent {
-            life: n as Life + 11,
+            life: n as Incarnation + 11,
             expired: false,
             held: BTreeMap::new(),
             call: None,
@@ -147,9 +147,9 @@
             without,
             revision: 100,
             next_life: 21,
-            members: (1..=STEWARDS as Life).collect(),
+            members: (1..=STEWARDS as Incarnation).collect(),
             claim: None,
-            sites: (11..11 + SITES as Life).collect(),
+            sites: (11..11 + SITES as Incarnation).collect(),
             lines: BTreeMap::new(),
             stewards: (0..STEWARDS).map(steward).collect(),
             agents: (0..SITES).map(agent).collect(),
@@ -352,7 +352,7 @@
         self.stewards[n].request = Some((request, Some(done)));
     }
 
-    fn carry_out(&mut self, life: Life, request: &Request) -> Option<u64> {
+    fn carry_out(&mut self, life: Incarnation, request: &Request) -> Option<u64> {
         let compares = !matches!(self.without, Without::Claim | Without::PermitAndClaim);
         let witness = self.members.contains(&life) || !compares;
         match request {
@@ -379,13 +379,13 @@
         }
     }
 
-    fn write_claim(&mut self, owner: Life) -> u64 {
+    fn write_claim(&mut self, owner: Incarnation) -> u64 {
         self.revision += 1;
         self.claim = Some(Claim { owner, term: self.revision });
         self.revision
     }
 
-    fn write(&mut self, life: Life, term: u64, writes: &[Write]) -> u64 {
+    fn write(&mut self, life: Incarnation, term: u64, writes: &[Write]) -> u64 {
         self.revision += 1;
         if self.claim != Some(Claim { owner: life, term }) {
             self.violation = Some("a steward writes without leading the duty");
--- a/crates/lab/src/judge/tables.rs
+++ b/crates/lab/src/judge/tables.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use ravenspar_protocol::{kind, tag, Body, Fault};
+use ravenspar_protocol::{kind, tag, Body, DecodeError};
 use ravenspar_standin::capture::unhex;
 use ravenspar_standin::{Event, Time};
 
@@ -135,7 +135,7 @@
         down: bool,
         body: &[u8],
         slices: usize,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), DecodeError> {
         let mut body = Body::new(body)?;
         let what = body.kind();
         if !down {
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -10,7 +10,9 @@
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use ravenspar::print_line;
-use ravenspar_protocol::{codec, kind, tag, Body, Fault as Unreadable, Frame, MOST_DOWN, VERSION};
+use ravenspar_protocol::{
+    codec, kind, tag, Body, Fault as DecodeError, Frame, MAX_BODY_FROM_STEWARD, VERSION,
+};
 use ravenspar_record::{Record, SliceRow};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::TcpStream;
@@ -45,8 +47,8 @@
     let socket = TcpStream::connect(address).await?;
     socket.set_nodelay(true)?;
     let (read, write) = socket.into_split();
-    let read = FramedRead::new(read, codec(MOST_DOWN));
-    let mut write = FramedWrite::new(write, codec(MOST_DOWN));
+    let read = FramedRead::new(read, codec(MAX_BODY_FROM_STEWARD));
+    let mut write = FramedWrite::new(write, codec(MAX_BODY_FROM_STEWARD));
     let mut hello = Frame::new(kind::HELLO);
     hello.numbers(tag::VERSION, &[VERSION]).numbers(tag::PROXY, &[number as u64]).numbers(tag::BOOT, &[1]);
     write.send(hello.numbers(tag::USUAL, &[1_000_000]).finish()).await?;
@@ -58,9 +60,9 @@
 pub async fn forward(
     address: std::net::SocketAddr,
     number: usize,
-    mut handle: impl FnMut(Instant, &[u8]) -> Result<Option<Bytes>, Unreadable>,
+    mut handle: impl FnMut(Instant, &[u8]) -> Result<Option<Bytes>, DecodeError>,
 ) -> std::io::Result<()> {
-    let broken = |fault: Unreadable| std::io::Error::other(fault.to_string());
+    let broken = |fault: DecodeError| std::io::Error::other(fault.to_string());
     let (mut read, mut write) = dial(address, number).await?;
     let began = Instant::now();
     let mut ping = tokio::time::interval(Duration::from_millis(250));
@@ -85,7 +87,7 @@
     forward(address, number, |_, body| take(&mut received.borrow_mut()[number], body)).await
 }
 
-fn take(received: &mut Received, body: &[u8]) -> Result<Option<Bytes>, Unreadable> {
+fn take(received: &mut Received, body: &[u8]) -> Result<Option<Bytes>, DecodeError> {
     let now = Instant::now();
     let mut body = Body::new(body)?;
     received.frames += 1;
--- a/crates/lab/src/measure_sharing.rs
+++ b/crates/lab/src/measure_sharing.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use ravenspar::print_line;
-use ravenspar_protocol::{kind, tag, Body, Fault as Unreadable, Frame};
+use ravenspar_protocol::{kind, tag, Body, Fault as DecodeError, Frame};
 use ravenspar_standin::store::Store;
 use tokio::task::spawn_local;
 
@@ -85,7 +85,7 @@
     body: &[u8],
     began: Instant,
     lease: &mut Duration,
-) -> Result<Option<Bytes>, Unreadable> {
+) -> Result<Option<Bytes>, DecodeError> {
     let now = Instant::now();
     let mut body = Body::new(body)?;
     let (mut answer, mut asked) = (Frame::new(kind::ANSWER), false);
--- a/crates/lab/src/stage.rs
+++ b/crates/lab/src/stage.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 use ravenspar::settings;
-use ravenspar_protocol::{codec, MOST_DOWN};
+use ravenspar_protocol::{codec, MAX_BODY_FROM_STEWARD};
 use ravenspar_standin::capture::hex;
 use ravenspar_standin::clients::{Clients, Kind, Load};
 use ravenspar_standin::server::{Model, Server};
@@ -101,7 +101,10 @@
             for (steward, target) in targets.iter().enumerate() {
                 let ends = (End::Forwarder(forwarder), End::Steward(steward));
                 let watch = captured(&capture, steward);
-                own.push(Streams::listen(&ways, ends, target.clone(), || codec(MOST_DOWN), watch).await?);
+                own.push(
+                    Streams::listen(&ways, ends, target.clone(), || codec(MAX_BODY_FROM_STEWARD), watch)
+                        .await?,
+                );
             }
             relays.push(own);
         }
--- a/crates/lab/src/work/play.rs
+++ b/crates/lab/src/work/play.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ravenspar_protocol::{codec, MOST_DOWN};
+use ravenspar_protocol::{codec, MAX_BODY_FROM_STEWARD};
 use ravenspar_standin::agent::Spec;
 use ravenspar_standin::effects::{self, Effects};
 use ravenspar_standin::store::Store;
@@ -132,7 +132,10 @@
             for (n, target) in targets.iter().enumerate() {
                 let ends = (End::Agent(m), End::Steward(n));
                 let watch = counts(1);
-                own.push(Streams::listen(&ways, ends, target.clone(), || codec(MOST_DOWN), watch).await?);
+                own.push(
+                    Streams::listen(&ways, ends, target.clone(), || codec(MAX_BODY_FROM_STEWARD), watch)
+                        .await?,
+                );
             }
             relays.push(own);
             let ends = (End::Agent(m), End::Effects);
--- a/crates/notes/src/lib.rs
+++ b/crates/notes/src/lib.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use hmac::{Hmac, KeyInit, Mac};
-use ravenspar_sharing::Life;
+use ravenspar_sharing::Incarnation;
 use sha2::Sha256;
 
 const VERSION: u8 = 1;
@@ -42,7 +42,7 @@
 /// Seals datagrams with a key, a sender number and a counter.
 pub struct Outbox {
     key: Vec<u8>,
-    sender: Life,
+    sender: Incarnation,
     counter: u64,
 }
 
@@ -54,7 +54,7 @@
 
 impl Outbox {
     /// The sender number must be new at each start, as the counter starts from zero.
-    pub fn new(key: &[u8], sender: Life) -> Outbox {
+    pub fn new(key: &[u8], sender: Incarnation) -> Outbox {
         Outbox { key: key.to_vec(), sender, counter: 0 }
     }
 
@@ -109,7 +109,7 @@
 /// A verified datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OpenedDatagram<'a> {
-    pub sender: Life,
+    pub sender: Incarnation,
     pub kind: u8,
     pub body: &'a [u8],
 }
@@ -125,7 +125,7 @@
 /// number of senders; beyond it the one idle for the longest is forgotten.
 pub struct Inbox {
     key: Vec<u8>,
-    senders: BTreeMap<Life, Window>,
+    senders: BTreeMap<Incarnation, Window>,
     max_senders: usize,
     /// Datagrams with a valid MAC, to know which sender was idle for the longest.
     verified: u64,
@@ -185,7 +185,7 @@
 
     const KEY: &[u8] = b"a key of thirty-two bytes or more";
 
-    fn read(inbox: &mut Inbox, datagram: &[u8]) -> Result<(Life, u8, u64), OpenError> {
+    fn read(inbox: &mut Inbox, datagram: &[u8]) -> Result<(Incarnation, u8, u64), OpenError> {
         inbox.open(datagram).map(|opened| (opened.sender, opened.kind, opened.number().expect("a number")))
     }
 
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -8,7 +8,7 @@
 mod read;
 mod write;
 
-pub use read::{Body, Fault, Numbers};
+pub use read::{Body, DecodeError, Field};
 pub use write::{millionths, Frame};
 
 use tokio_util::codec::LengthDelimitedCodec;
@@ -17,10 +17,10 @@
 pub const VERSION: u64 = 2;
 
 /// Maximum size of a body from a proxy, in bytes: enough for a report of some thousand lines.
-pub const MOST_UP: usize = 64 * 1024;
+pub const MAX_BODY_FROM_PROXY: usize = 64 * 1024;
 
 /// Maximum size of a body from a steward, in bytes: enough for an update of 65,535 lines of 30 bytes.
-pub const MOST_DOWN: usize = 2 * 1024 * 1024;
+pub const MAX_BODY_FROM_STEWARD: usize = 2 * 1024 * 1024;
 
 /// Fractions are sent as integers, in millionths.
 pub const MILLIONTHS_PER_UNIT: f64 = 1_000_000.0;
--- a/crates/protocol/tests/fuzz.rs
+++ b/crates/protocol/tests/fuzz.rs
@@ -2,7 +2,7 @@
 
 use bytes::BytesMut;
 use proptest::prelude::*;
-use ravenspar_protocol::{codec, Body, Frame, MOST_UP};
+use ravenspar_protocol::{codec, Body, Frame, MAX_BODY_FROM_PROXY};
 use tokio_util::codec::Decoder;
 
 proptest! {
@@ -44,11 +44,11 @@
     /// A length past the limit is refused before any of its body is buffered.
     #[test]
     fn the_size_limit_holds_for_any_stream(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
-        let mut codec = codec(MOST_UP);
+        let mut codec = codec(MAX_BODY_FROM_PROXY);
         let mut buffer = BytesMut::from(&bytes[..]);
         while let Ok(Some(body)) = codec.decode(&mut buffer) {
-            prop_assert!(body.len() <= MOST_UP);
+            prop_assert!(body.len() <= MAX_BODY_FROM_PROXY);
         }
-        prop_assert!(buffer.capacity() <= 2 * MOST_UP);
+        prop_assert!(buffer.capacity() <= 2 * MAX_BODY_FROM_PROXY);
     }
 }
--- a/crates/ravenspar/src/assignment_batch.rs
+++ b/crates/ravenspar/src/assignment_batch.rs
@@ -1,6 +1,6 @@
 //! Slices newly assigned to this steward that wait to be announced to the forwarders in one message.
 
-use ravenspar_host::Charged;
+use ravenspar_host::AssignedSlice;
 use ravenspar_steward::{Time, SECOND};
 
 /// Slices assigned within this window are announced in one message: a take-over is a burst of transactions a few
@@ -10,13 +10,13 @@
 /// Collects assigned slices until their batch is due.
 #[derive(Default)]
 pub struct AssignmentBatch {
-    slices: Vec<Charged>,
+    slices: Vec<AssignedSlice>,
     /// When the first slice was added; 0 if the batch is due at once.
     first_added_at: Time,
 }
 
 impl AssignmentBatch {
-    pub fn add(&mut self, now: Time, slices: impl IntoIterator<Item = Charged>) {
+    pub fn add(&mut self, now: Time, slices: impl IntoIterator<Item = AssignedSlice>) {
         if self.slices.is_empty() {
             self.first_added_at = now;
         }
@@ -42,7 +42,7 @@
     }
 
     /// Takes the batch, sorted by slice, if it is due and the channel has capacity for lines.
-    pub fn take_ready(&mut self, now: Time, capacity: u64) -> Option<Vec<Charged>> {
+    pub fn take_ready(&mut self, now: Time, capacity: u64) -> Option<Vec<AssignedSlice>> {
         if now < self.ready_at(capacity) {
             return None;
         }
--- a/crates/ravenspar/src/assignment_batch/tests.rs
+++ b/crates/ravenspar/src/assignment_batch/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn assigned(slice: usize) -> Charged {
-    Charged { slice, term: 1, echoed_until: None, owner: None }
+fn assigned(slice: usize) -> AssignedSlice {
+    AssignedSlice { slice, term: 1, echoed_until: None, owner: None }
 }
 
 #[test]
--- a/crates/ravenspar/src/core.rs
+++ b/crates/ravenspar/src/core.rs
@@ -35,7 +35,7 @@
     /// Runs until the incarnation ends, and logs its totals.
     pub async fn run(&mut self) -> Result<End, CommandError> {
         let end = self.run_until_end().await;
-        let figures = self.host.figures();
+        let figures = self.host.metrics();
         tracing::info!(
             joined = figures.joined,
             updates = figures.updates,
@@ -148,7 +148,10 @@
         let step = if shared.new_assignments.is_empty() {
             shared.incarnation.fleet.next_at()
         } else {
-            shared.new_assignments.ready_at(self.host.room()).min(shared.incarnation.fleet.gives_up_at())
+            shared
+                .new_assignments
+                .ready_at(self.host.spare_lines())
+                .min(shared.incarnation.fleet.gives_up_at())
         };
         host.min(membership).min(step)
     }
--- a/crates/ravenspar/src/process.rs
+++ b/crates/ravenspar/src/process.rs
@@ -4,7 +4,7 @@
 
 use ravenspar_net::Clock;
 use ravenspar_record::ServerRow;
-use ravenspar_sharing::counted::Counted;
+use ravenspar_sharing::counted::StewardCount;
 use ravenspar_steward::Live;
 use tokio::net::TcpListener;
 use tokio::signal::unix::Signal;
@@ -42,7 +42,7 @@
     /// The view of the fleet, if one is configured.
     pub fleet: Option<Fleet>,
     /// The number of stewards that decisions divide by, where the view provides it.
-    pub counted: Option<(Counted, Live)>,
+    pub counted: Option<(StewardCount, Live)>,
     /// The last list received.
     pub last_list: Vec<ServerRow>,
 }
--- a/crates/ravenspar/src/serve.rs
+++ b/crates/ravenspar/src/serve.rs
@@ -5,7 +5,7 @@
 
 use ravenspar_host::{Host, Server};
 use ravenspar_record::{Record, ServerRow, SliceRow};
-use ravenspar_sharing::counted::Counted;
+use ravenspar_sharing::counted::StewardCount;
 use ravenspar_steward::{Health, Live, Time};
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::mpsc;
@@ -92,7 +92,7 @@
         let planned = cfg.map.number("balancers").unwrap_or(1.0);
         let live = Live::new(planned);
         cfg.map.set_live("balancers", live.clone());
-        (Counted::new(planned as usize), live)
+        (StewardCount::new(planned as usize), live)
     });
     let mut process = ProcessContext {
         clock,
@@ -200,7 +200,7 @@
                 failures = 0;
                 let term = incarnation.term;
                 let last = last_seen(&process.last_list);
-                let host = Host::sharing(process.clock.now(), cfg.seed, cfg.map.clone(), term, &last);
+                let host = Host::without_slices(process.clock.now(), cfg.seed, cfg.map.clone(), term, &last);
                 let host = host.map_err(unusable)?;
                 tracing::info!(%address, life = %format_args!("{number:016x}"), term, servers = last.len(), "a member");
                 let mut core = Core::new(process, host, Some(Shared::new(incarnation, seen)));
--- a/crates/ravenspar/src/shared/rows.rs
+++ b/crates/ravenspar/src/shared/rows.rs
@@ -1,7 +1,7 @@
 //! Keys and values in the shared store; `docs/design/sharing.md` lists them.
 
 use ravenspar_record::SliceRow;
-use ravenspar_sharing::Life;
+use ravenspar_sharing::Incarnation;
 use serde::{Deserialize, Serialize};
 
 /// The keys of one fleet, all under one prefix.
@@ -17,12 +17,12 @@
         format!("{}member/", self.0).into_bytes()
     }
 
-    pub fn member(&self, incarnation: Life) -> Vec<u8> {
+    pub fn member(&self, incarnation: Incarnation) -> Vec<u8> {
         format!("{}member/{incarnation:016x}", self.0).into_bytes()
     }
 
     /// The key that each transaction of an incarnation compares and rewrites, which puts them in order.
-    pub fn witness(&self, incarnation: Life) -> Vec<u8> {
+    pub fn witness(&self, incarnation: Incarnation) -> Vec<u8> {
         format!("{}witness/{incarnation:016x}", self.0).into_bytes()
     }
 
@@ -46,7 +46,7 @@
     }
 
     /// The witness of one of an incarnation's writers for fleet work.
-    pub fn work_witness(&self, incarnation: Life, writer: &str) -> Vec<u8> {
+    pub fn work_witness(&self, incarnation: Incarnation, writer: &str) -> Vec<u8> {
         format!("{}witness/{incarnation:016x}/{writer}", self.0).into_bytes()
     }
 
@@ -64,7 +64,7 @@
     }
 
     /// What a steward reports of itself for duties, bound to its membership.
-    pub fn reach(&self, incarnation: Life) -> Vec<u8> {
+    pub fn reach(&self, incarnation: Incarnation) -> Vec<u8> {
         format!("{}reach/{incarnation:016x}", self.0).into_bytes()
     }
 
@@ -73,7 +73,7 @@
     }
 
     /// The entry of a site's incarnation, bound to its lease.
-    pub fn site(&self, incarnation: Life) -> Vec<u8> {
+    pub fn site(&self, incarnation: Incarnation) -> Vec<u8> {
         format!("{}site/{incarnation:016x}", self.0).into_bytes()
     }
 
@@ -135,8 +135,8 @@
     }
 
     /// Returns the incarnation (hexadecimal) after a key's last slash, if it is one.
-    pub fn incarnation(key: &[u8]) -> Option<Life> {
-        Life::from_str_radix(std::str::from_utf8(key).ok()?.rsplit('/').next()?, 16).ok()
+    pub fn incarnation(key: &[u8]) -> Option<Incarnation> {
+        Incarnation::from_str_radix(std::str::from_utf8(key).ok()?.rsplit('/').next()?, 16).ok()
     }
 }
 
@@ -179,13 +179,13 @@
 }
 
 /// Encodes an incarnation as the value of an assignment or a claim.
-pub fn encode_incarnation(incarnation: Life) -> Vec<u8> {
+pub fn encode_incarnation(incarnation: Incarnation) -> Vec<u8> {
     format!("{incarnation:016x}").into_bytes()
 }
 
 /// Decodes the value of an assignment or a claim.
-pub fn decode_incarnation(value: &[u8]) -> Option<Life> {
-    Life::from_str_radix(std::str::from_utf8(value).ok()?, 16).ok()
+pub fn decode_incarnation(value: &[u8]) -> Option<Incarnation> {
+    Incarnation::from_str_radix(std::str::from_utf8(value).ok()?, 16).ok()
 }
 
 #[cfg(test)]
--- a/crates/ravenspar/src/shared/session.rs
+++ b/crates/ravenspar/src/shared/session.rs
@@ -310,9 +310,9 @@
         let (events, writer, joining) = (self.events.clone(), self.writer.clone(), self.joining.clone());
         self.start_task("a step", async move {
             let result = match step {
-                Step::Take { slices, gone } => take(&slices, &gone, &writer, &joining, &events).await,
+                Step::TakeOver { slices, gone } => take(&slices, &gone, &writer, &joining, &events).await,
                 Step::Serve { slices } => read_records(slices, From::Given, &joining, &events).await,
-                Step::Give { slices, to } => hand_over(slices, to, &writer, &events).await,
+                Step::HandOver { slices, to } => hand_over(slices, to, &writer, &events).await,
                 Step::Left | Step::Lost => Ok(()),
             };
             let event = match result {
--- a/crates/ravenspar/src/shared/store.rs
+++ b/crates/ravenspar/src/shared/store.rs
@@ -2,7 +2,7 @@
 
 use ravenspar_list::Stop as HistoryError;
 use ravenspar_record::SliceRow;
-use ravenspar_sharing::Life;
+use ravenspar_sharing::Incarnation;
 use ravenspar_store::{at, put, there, under, Fault, Range, Row, Shared, Store, MOST};
 
 pub use ravenspar_store::Stop;
@@ -14,11 +14,11 @@
 pub struct Snapshot {
     pub cluster: u64,
     pub revision: u64,
-    pub members: Vec<(Life, Member)>,
+    pub members: Vec<(Incarnation, Member)>,
     /// Assignments that changed since the requested revision: slice, steward, term.
-    pub charges: Vec<(usize, Life, u64)>,
+    pub charges: Vec<(usize, Incarnation, u64)>,
     /// Duties with their leaders and terms; see [`with_duties`].
-    pub duties: Vec<(String, Life, u64)>,
+    pub duties: Vec<(String, Incarnation, u64)>,
     /// Number of sites with a live lease; see [`with_duties`].
     pub sites: usize,
     /// Keys whose entries can't be decoded.
@@ -65,7 +65,7 @@
 pub struct MemberWriter {
     writer: ravenspar_store::Hand,
     keys: Keys,
-    incarnation: Life,
+    incarnation: Incarnation,
 }
 
 impl MemberWriter {
@@ -74,7 +74,7 @@
     pub async fn join(
         store: Shared,
         keys: Keys,
-        incarnation: Life,
+        incarnation: Incarnation,
         member: &Member,
     ) -> Result<(MemberWriter, u64), Stop> {
         let writer = ravenspar_store::Hand::new(store, incarnation, keys.witness(incarnation));
@@ -108,13 +108,13 @@
 
     /// Takes slices over, on condition that each assignment still has this term and that the members in `gone` are
     /// absent from the store. Returns the new term.
-    pub async fn take(&mut self, slices: &[(usize, u64)], gone: &[Life]) -> Result<u64, Stop> {
+    pub async fn take(&mut self, slices: &[(usize, u64)], gone: &[Incarnation]) -> Result<u64, Stop> {
         let absent = gone.iter().map(|&incarnation| at(self.keys.member(incarnation), 0)).collect();
         self.assign(slices, absent, self.incarnation).await
     }
 
     /// Hands slices over to a member, on condition that it is still there. Returns the new term.
-    pub async fn hand_over(&mut self, slices: &[(usize, u64)], to: Life) -> Result<u64, Stop> {
+    pub async fn hand_over(&mut self, slices: &[(usize, u64)], to: Incarnation) -> Result<u64, Stop> {
         let present = vec![there(self.keys.member(to))];
         self.assign(slices, present, to).await
     }
@@ -123,7 +123,7 @@
         &mut self,
         slices: &[(usize, u64)],
         mut compare: Vec<ravenspar_store::Compare>,
-        to: Life,
+        to: Incarnation,
     ) -> Result<u64, Stop> {
         compare.extend(slices.iter().map(|&(slice, term)| at(self.keys.assignment(slice), term)));
         let then = slices
--- a/crates/ravenspar/src/shared/tests.rs
+++ b/crates/ravenspar/src/shared/tests.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use ravenspar_record::SliceRow;
-use ravenspar_sharing::Life;
+use ravenspar_sharing::Incarnation;
 use ravenspar_standin::store::Memory;
 use ravenspar_store::Shared;
 
@@ -16,7 +16,7 @@
 /// The term of a slice that was never assigned.
 const UNASSIGNED: u64 = 0;
 
-async fn join(store: &Shared, incarnation: Life) -> MemberWriter {
+async fn join(store: &Shared, incarnation: Incarnation) -> MemberWriter {
     store.grant(incarnation, LEASE).await.expect("the lease is granted");
     let address = "127.0.0.1:9".to_owned();
     let member = Member { name: format!("steward-{incarnation}"), address, leaving: false, resting: false };
@@ -27,7 +27,7 @@
 }
 
 /// Returns the steward that the first slice is assigned to.
-async fn assigned_steward(store: &Shared) -> Option<Life> {
+async fn assigned_steward(store: &Shared) -> Option<Incarnation> {
     let snapshot = snapshot(&**store, &Keys::new("/fleet/"), 0).await.expect("the store answers");
     snapshot.charges.iter().find(|(slice, ..)| *slice == 0).map(|(_, incarnation, _)| *incarnation)
 }
--- a/crates/ravenspar/src/sharing.rs
+++ b/crates/ravenspar/src/sharing.rs
@@ -1,8 +1,8 @@
 //! The core's part in sharing slices with other stewards: membership, steps of redistribution, hints.
 
-use ravenspar_host::Charged;
+use ravenspar_host::AssignedSlice;
 use ravenspar_notes::kind;
-use ravenspar_sharing::useful::dealt_nothing;
+use ravenspar_sharing::useful::excluded_members;
 use ravenspar_sharing::Step;
 use ravenspar_steward::{Time, SECOND};
 
@@ -50,11 +50,11 @@
                 snapshot
                     .charges
                     .iter()
-                    .for_each(|&(slice, incarnation, term)| fleet.charge(slice, incarnation, term));
+                    .for_each(|&(slice, incarnation, term)| fleet.set_assignment(slice, incarnation, term));
                 shared.names = snapshot.members.iter().map(|(_, member)| member.name.clone()).collect();
                 let members =
                     snapshot.members.iter().map(|(incarnation, m)| (*incarnation, m.leaving, m.resting));
-                let members = dealt_nothing(&members.collect::<Vec<_>>());
+                let members = excluded_members(&members.collect::<Vec<_>>());
                 fleet.members(&members);
                 if members.len() < std::mem::replace(&mut shared.members, members.len()) {
                     shared.incarnation.look_as_usual();
@@ -81,13 +81,13 @@
                         .map(|index| &rows[index]);
                     let owner =
                         row.and_then(|row| Some((row.owner.clone()?, row.weight as f64 / 1e6, row.boot)));
-                    Charged { slice, term, echoed_until, owner }
+                    AssignedSlice { slice, term, echoed_until, owner }
                 });
                 shared.new_assignments.add(now, assigned);
             }
             Event::Gave { slices, to, term } => {
                 tracing::info!(slices = slices.len(), to = %format_args!("{to:016x}"), term, "gave slices");
-                fleet.gave(&slices, to, term);
+                fleet.handed_over(&slices, to, term);
                 self.send_hint(kind::LOOK, term);
             }
             Event::Done => {
@@ -184,13 +184,13 @@
                 self.process.embedded.write(RecordUpdate::Seen(cluster, revision));
             }
         }
-        if let Some(assigned) = shared.new_assignments.take_ready(now, self.host.room()) {
+        if let Some(assigned) = shared.new_assignments.take_ready(now, self.host.spare_lines()) {
             tracing::info!(
                 slices = assigned.len(),
                 taken_over = assigned[0].echoed_until.is_some(),
                 "in charge of slices"
             );
-            self.host.charged(now, &assigned);
+            self.host.assign(now, &assigned);
         }
         if let Some((ticket, step)) = shared.pending_step.take() {
             if ticket > shared.incarnation.recorder.durable() {
@@ -225,15 +225,15 @@
             Step::Lost => {
                 Some(End::MembershipEnded("another steward is in charge of what this one was".to_owned()))
             }
-            Step::Give { slices, to } => {
+            Step::HandOver { slices, to } => {
                 let leaving: Vec<usize> = slices.iter().map(|&(slice, _)| slice).collect();
-                self.host.left(&leaving);
+                self.host.release(&leaving);
                 // Decisions about these slices are recorded first.
-                shared.pending_step = Some((self.stats.last_ticket, Step::Give { slices, to }));
+                shared.pending_step = Some((self.stats.last_ticket, Step::HandOver { slices, to }));
                 self.advance_sharing()
             }
             step => {
-                if matches!(step, Step::Take { .. }) {
+                if matches!(step, Step::TakeOver { .. }) {
                     Halt::meet(&mut self.process.failpoint, Point::Take);
                 }
                 shared.incarnation.carry_out(step);
--- a/crates/ravenspar/src/streams.rs
+++ b/crates/ravenspar/src/streams.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Bytes, BytesMut};
 use futures_util::{SinkExt, StreamExt};
-use ravenspar_protocol::{codec, MOST_DOWN, MOST_UP};
+use ravenspar_protocol::{codec, MAX_BODY_FROM_PROXY, MAX_BODY_FROM_STEWARD};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
@@ -76,7 +76,7 @@
 }
 
 async fn read_frames(number: u64, read: OwnedReadHalf, events: mpsc::Sender<Input>) {
-    let mut frames = FramedRead::new(read, codec(MOST_UP));
+    let mut frames = FramedRead::new(read, codec(MAX_BODY_FROM_PROXY));
     // A frame over the size limit ends the stream, as a read error does.
     while let Some(Ok(body)) = frames.next().await {
         if events.send(Input::Frame(number, body)).await.is_err() {
@@ -94,7 +94,7 @@
 ) {
     /// How long the socket of a closing stream may take to accept a queued frame.
     const CLOSE_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(500);
-    let mut frames = FramedWrite::new(write, codec(MOST_DOWN));
+    let mut frames = FramedWrite::new(write, codec(MAX_BODY_FROM_STEWARD));
     while let Some(body) = queue.recv().await {
         let closing = queue.is_closed();
         let sent = frames.send(body);
--- a/crates/ravenspar/src/work/agents.rs
+++ b/crates/ravenspar/src/work/agents.rs
@@ -3,7 +3,7 @@
 
 use ravenspar_jobs::{Act, Hello};
 use ravenspar_protocol::VERSION;
-use ravenspar_sharing::Life;
+use ravenspar_sharing::Incarnation;
 use ravenspar_steward::SECOND;
 use ravenspar_store::{Hand, Shared};
 
@@ -133,7 +133,7 @@
     stream: u64,
     site: Hello,
     seconds: u32,
-    steward: Life,
+    steward: Incarnation,
 ) -> Option<Event> {
     let Hello { life: incarnation, boot, room, name } = site;
     // Refused if the lease exists already.
@@ -149,7 +149,7 @@
 }
 
 /// Revokes the leases of sites' incarnations that have reported their end.
-async fn revoke_leases(store: Shared, _keys: Keys, incarnations: Vec<Life>) -> Option<Event> {
+async fn revoke_leases(store: Shared, _keys: Keys, incarnations: Vec<Incarnation>) -> Option<Event> {
     for incarnation in incarnations {
         // If this fails, the lease expires by itself.
         let _ = store.revoke(incarnation).await;
--- a/crates/ravenspar/src/work/executors/tests.rs
+++ b/crates/ravenspar/src/work/executors/tests.rs
@@ -5,7 +5,7 @@
 
 use futures_util::future::BoxFuture;
 use ravenspar_duty::Tenure;
-use ravenspar_jobs::Life;
+use ravenspar_jobs::Incarnation;
 use ravenspar_standin::store::Memory;
 use ravenspar_store::{Committed, Fault, Guarded, Page, Read, Store};
 
@@ -22,7 +22,7 @@
 }
 
 /// Joins as a member and returns its executor; the events' receiver is dropped.
-async fn join(store: &Shared, incarnation: Life) -> DutyExecutor {
+async fn join(store: &Shared, incarnation: Incarnation) -> DutyExecutor {
     store.grant(incarnation, LEASE).await.expect("the lease is granted");
     let keys = keys();
     let mut writer = Hand::new(store.clone(), incarnation, keys.work_witness(incarnation, "own"));
@@ -68,7 +68,7 @@
     read.ranges.into_iter().flatten().next().map(|row| row.value)
 }
 
-async fn leader(store: &Shared) -> Option<Life> {
+async fn leader(store: &Shared) -> Option<Incarnation> {
     decode_incarnation(&value(store, keys().duty(DUTIES[JOBS])).await?)
 }
 
--- a/crates/ravenspar/src/work/frames.rs
+++ b/crates/ravenspar/src/work/frames.rs
@@ -4,8 +4,8 @@
 
 use bytes::Bytes;
 use ravenspar_debt::Key;
-use ravenspar_jobs::{Ended, Hello, Life, Token};
-use ravenspar_protocol::{kind, tag, Body, Fault, Frame, VERSION};
+use ravenspar_jobs::{Ended, Hello, Incarnation, Token};
+use ravenspar_protocol::{kind, tag, Body, DecodeError, Frame, VERSION};
 
 /// An agent's report of what a job has used under a token so far; `last` marks the final one.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
     /// Introduces the site and its incarnation; `before` are earlier incarnations that have ended for good.
-    Site { hello: Hello, before: Vec<Life>, version: u64 },
+    Site { hello: Hello, before: Vec<Incarnation>, version: u64 },
     /// Renews the incarnation's lease, and lists the jobs that the site runs or has outcomes of.
     Keep { sent: u64, held_jobs: BTreeSet<(String, Token)> },
     /// Reports how a job ended.
@@ -30,7 +30,7 @@
     /// Rejects an order: the agent knows this term of the duty, which is higher than the order's.
     Holds(u64),
     /// Ends this incarnation, which runs no jobs any more.
-    Over(Life),
+    Over(Incarnation),
     /// A heartbeat, with the time at which it was sent.
     Ping(u64),
     /// A frame of a kind that agents don't send.
@@ -38,7 +38,7 @@
 }
 
 /// Decodes an agent's frame; fails if it is malformed or lacks a required field.
-pub fn decode(body: &[u8]) -> Result<Message, Fault> {
+pub fn decode(body: &[u8]) -> Result<Message, DecodeError> {
     let mut body = Body::new(body)?;
     let kind = body.kind();
     let (mut sent, mut version, mut term, mut incarnation) = (0, 0, 0, 0);
@@ -80,12 +80,12 @@
     Ok(match kind {
         kind::SITE => match hello {
             Some(hello) => Message::Site { hello, before, version },
-            None => return Err(Fault::Missing(tag::LIFE)),
+            None => return Err(DecodeError::MissingNumber(tag::LIFE)),
         },
         kind::KEEP => Message::Keep { sent, held_jobs: held_jobs.into_iter().collect() },
         kind::OUTCOME => match (held_jobs.pop(), ended) {
             (Some((job, token)), Some(ended)) => Message::Outcome { job, token, ended },
-            _ => return Err(Fault::Missing(tag::JOB)),
+            _ => return Err(DecodeError::MissingNumber(tag::JOB)),
         },
         kind::PING => Message::Ping(sent),
         kind::USED => Message::Used(uses),
@@ -101,7 +101,7 @@
 }
 
 /// Confirms a renewal that the agent sent at `sent`.
-pub fn kept(incarnation: Life, sent: u64, lease: u64) -> Bytes {
+pub fn kept(incarnation: Incarnation, sent: u64, lease: u64) -> Bytes {
     let mut frame = Frame::new(kind::KEPT);
     frame
         .numbers(tag::LIFE, &[incarnation])
@@ -116,12 +116,12 @@
 }
 
 /// Tells an agent that its site's incarnation has ended.
-pub fn over(incarnation: Life) -> Bytes {
+pub fn over(incarnation: Incarnation) -> Bytes {
     Frame::new(kind::OVER).numbers(tag::LIFE, &[incarnation]).finish()
 }
 
 /// Assigns a job to a site's incarnation.
-pub fn give(term: u64, incarnation: Life, job: &str, token: Token, spec: &str) -> Bytes {
+pub fn give(term: u64, incarnation: Incarnation, job: &str, token: Token, spec: &str) -> Bytes {
     let mut frame = Frame::new(kind::GIVE);
     frame.numbers(tag::TERM, &[term]).numbers(tag::LIFE, &[incarnation]);
     frame.text(tag::JOB, &[token], job).text(tag::SPEC, &[], spec).finish()
--- a/crates/ravenspar/src/work/mod.rs
+++ b/crates/ravenspar/src/work/mod.rs
@@ -20,8 +20,8 @@
 use ravenspar_duty::{Duties, Duty, Pace, Step, Tenure, Term};
 use ravenspar_jobs::{Desk, Giver, Line, Token, Write};
 use ravenspar_net::Clock;
-use ravenspar_sharing::useful::Useful;
-use ravenspar_sharing::Life;
+use ravenspar_sharing::useful::RestDetector;
+use ravenspar_sharing::Incarnation;
 use ravenspar_steward::{Time, SECOND};
 use ravenspar_store::{Hand, Shared};
 use tokio::net::TcpListener;
@@ -68,12 +68,12 @@
     ReachabilityWritten,
     Registered {
         stream: u64,
-        incarnation: Life,
+        incarnation: Incarnation,
     },
     /// A site's lease was renewed. `held` is `None` if the store did not answer.
     Renewed {
         stream: u64,
-        incarnation: Life,
+        incarnation: Incarnation,
         sent: u64,
         held: Option<bool>,
     },
@@ -90,7 +90,7 @@
     SpecRead {
         stream: u64,
         term: u64,
-        incarnation: Life,
+        incarnation: Incarnation,
         job: String,
         token: Token,
         spec: String,
@@ -128,7 +128,7 @@
     pub store: Shared,
     pub keys: Keys,
     pub clock: Clock,
-    pub incarnation: Life,
+    pub incarnation: Incarnation,
     pub listener: Arc<TcpListener>,
     pub settings: settings::Jobs,
     pub debts: Option<settings::Debts>,
@@ -190,12 +190,12 @@
     /// Detects that this task runs late.
     pace: Pace,
     /// Detects that this steward reaches few of the sites that the others reach.
-    rest_detector: Useful,
+    rest_detector: RestDetector,
     reachability: Reachability,
     /// True while a write of `reachability` is in flight.
     reachability_write_pending: bool,
     /// What all members of the fleet report of themselves.
-    peer_reachability: BTreeMap<Life, Reachability>,
+    peer_reachability: BTreeMap<Incarnation, Reachability>,
     agent_sessions: Desk,
     /// Set while this steward is the leader of the duty of jobs.
     jobs_leadership: Option<(Tenure, Giver)>,
@@ -274,7 +274,7 @@
                 now + FIRST_CLAIM_DELAY,
             ),
             pace: Pace::default(),
-            rest_detector: Useful::default(),
+            rest_detector: RestDetector::default(),
             reachability: Reachability::default(),
             reachability_write_pending: false,
             peer_reachability: BTreeMap::new(),
--- a/crates/ravenspar/src/work/rows.rs
+++ b/crates/ravenspar/src/work/rows.rs
@@ -1,7 +1,7 @@
 //! Encoding and decoding of the store's entries that fleet work uses.
 
 use ravenspar_debt::{Key, Sums, UseRow};
-use ravenspar_duty::{Claim, Life};
+use ravenspar_duty::{Claim, Incarnation};
 use ravenspar_jobs::{Job, Line, Site};
 use ravenspar_store::Row;
 use serde::{Deserialize, Serialize};
@@ -52,7 +52,7 @@
 }
 
 /// Decodes a steward's report of itself.
-pub fn reachability(row: &Row) -> Option<(Life, Reachability)> {
+pub fn reachability(row: &Row) -> Option<(Incarnation, Reachability)> {
     Some((Keys::incarnation(&row.key)?, serde_json::from_slice(&row.value).ok()?))
 }
 
--- a/crates/ravenspar/tests/program.rs
+++ b/crates/ravenspar/tests/program.rs
@@ -6,7 +6,7 @@
 use std::net::TcpStream;
 
 use common::{path, run, stderr, until, Dir, Proxy};
-use ravenspar_protocol::{kind, Frame, MOST_UP};
+use ravenspar_protocol::{kind, Frame, MAX_BODY_FROM_PROXY};
 
 #[test]
 fn all_faults_of_a_settings_file_are_told_at_once_with_their_places() {
@@ -161,7 +161,7 @@
     let mut good = Proxy::dial(steward.address, 0, 1);
     until("slices are granted", &mut [&mut good], |all| all[0].owners.len() == 4);
     let unheard = Frame::new(kind::ANSWER).finish();
-    let too_long = [&((MOST_UP as u32) + 1).to_be_bytes()[..], &[0; 64]].concat();
+    let too_long = [&((MAX_BODY_FROM_PROXY as u32) + 1).to_be_bytes()[..], &[0; 64]].concat();
     let inputs: [&[u8]; 6] = [&[], &[0; 4], &too_long, &[0xff; 4096], b"GET / HTTP/1.1\r\n\r\n", &unheard];
     for round in 0..20 {
         for bytes in inputs {
--- a/crates/sharing/src/counted.rs
+++ b/crates/sharing/src/counted.rs
@@ -5,22 +5,22 @@
 /// Tracks the number of stewards that the view of the fleet and the store agree on. While a fleet is split, the view of
 /// each part shows fewer members than the store has; while the store is unavailable, its members are unknown.
 #[derive(Clone, Copy, Debug)]
-pub struct Counted {
+pub struct StewardCount {
     planned: usize,
     count: usize,
     /// A different number that is being observed, and since when.
     candidate: Option<(usize, Time)>,
 }
 
-impl Counted {
+impl StewardCount {
     /// How long a different number must be observed: longer than a steward's restart plus the expiry of its membership
     /// and the settling of the view, so that a rolling release of stewards changes nothing.
     pub const MIN_OBSERVED: Time = 150_000;
 
     /// Starts from `planned`, the number of stewards in the settings.
-    pub fn new(planned: usize) -> Counted {
+    pub fn new(planned: usize) -> StewardCount {
         let planned = planned.max(1);
-        Counted { planned, count: planned, candidate: None }
+        StewardCount { planned, count: planned, candidate: None }
     }
 
     /// Returns the lowest and the highest number to follow: half and twice the planned one. Beyond these the settings are
@@ -60,7 +60,7 @@
 
     #[test]
     fn the_count_follows_view_and_store_once_they_agree_for_long_enough() {
-        let mut stewards = Counted::new(3);
+        let mut stewards = StewardCount::new(3);
         assert_eq!(stewards.look(0, Some(5), Some(5)), 3);
         assert_eq!(stewards.look(14 * SECOND, Some(5), Some(5)), 3);
         assert_eq!(stewards.look(15 * SECOND, Some(5), Some(5)), 5);
@@ -72,7 +72,7 @@
 
     #[test]
     fn a_split_an_unsettled_view_or_an_unavailable_store_does_not_change_the_count() {
-        let mut stewards = Counted::new(5);
+        let mut stewards = StewardCount::new(5);
         for second in 0..100 {
             let now = second * SECOND;
             // The store still has the members of the other side.
@@ -94,7 +94,7 @@
             planned in 0..70usize,
             looks in prop::collection::vec((0..200 * SECOND, prop::option::of(0..99usize), prop::option::of(0..99usize)), 0..50),
         ) {
-            let mut stewards = Counted::new(planned);
+            let mut stewards = StewardCount::new(planned);
             let (least, most) = stewards.bounds();
             let mut now = 0;
             for (span, view, store) in looks {
--- a/crates/sharing/src/fleet.rs
+++ b/crates/sharing/src/fleet.rs
@@ -3,19 +3,19 @@
 use std::collections::BTreeMap;
 
 use crate::shares::moves;
-use crate::{Life, Time};
+use crate::{Incarnation, Time};
 
 /// One step at the store. The next one is returned once the outcome of this one has been reported.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Step {
     /// Take over slices whose steward is gone, on condition that each assignment still has this term (0: the slice was
     /// never assigned) and that none of `gone` is a member.
-    Take { slices: Vec<(usize, u64)>, gone: Vec<Life> },
+    TakeOver { slices: Vec<(usize, u64)>, gone: Vec<Incarnation> },
     /// Read the record of slices that were handed over to this steward under these terms, and serve them.
     Serve { slices: Vec<(usize, u64)> },
     /// Stop deciding on slices, notify forwarders, and only then hand them over, on condition that each assignment still
     /// has this term and that `to` is a member.
-    Give { slices: Vec<(usize, u64)>, to: Life },
+    HandOver { slices: Vec<(usize, u64)>, to: Incarnation },
     /// This steward has left: it serves no slices, no other steward could take them over, or the time for leaving is up.
     Left,
     /// A slice served by this steward is assigned to another, or it is no longer a member: it must stop at once.
@@ -25,16 +25,16 @@
 /// The steward that a slice is assigned to, and the term of the assignment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Assignment {
-    steward: Life,
+    steward: Incarnation,
     term: u64,
 }
 
 /// The fleet as known to one steward: members, assignments, and the state of its own steps.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Fleet {
-    me: Life,
+    me: Incarnation,
     /// Members, and whether each is leaving.
-    members: BTreeMap<Life, bool>,
+    members: BTreeMap<Incarnation, bool>,
     assignments: Vec<Option<Assignment>>,
     /// Per slice: the term under which this steward serves it, or 0 if it does not.
     served_terms: Vec<u64>,
@@ -78,7 +78,7 @@
     }
 
     /// Starts as a member. `pace`: see [`Fleet::pace`]. `after`: how long to wait before the first slice is taken over.
-    pub fn new(now: Time, me: Life, slices: usize, pace: Time, after: Time) -> Fleet {
+    pub fn new(now: Time, me: Incarnation, slices: usize, pace: Time, after: Time) -> Fleet {
         Fleet {
             me,
             members: BTreeMap::new(),
@@ -96,7 +96,7 @@
     }
 
     /// Applies an assignment read from the store. One with an older term than the known one is ignored.
-    pub fn charge(&mut self, slice: usize, steward: Life, term: u64) {
+    pub fn set_assignment(&mut self, slice: usize, steward: Incarnation, term: u64) {
         if let Some(known) = self.assignments.get_mut(slice) {
             if known.is_none_or(|known| known.term < term) {
                 *known = Some(Assignment { steward, term });
@@ -106,7 +106,7 @@
     }
 
     /// Sets the complete list of members, with whether each is leaving.
-    pub fn members(&mut self, members: &[(Life, bool)]) {
+    pub fn members(&mut self, members: &[(Incarnation, bool)]) {
         let members = members.iter().copied().collect();
         self.decision_due |= self.members != members || !self.has_members;
         self.members = members;
@@ -116,7 +116,7 @@
     /// Notes that this steward now serves slices, under these terms.
     pub fn served(&mut self, slices: &[(usize, u64)]) {
         for &(slice, term) in slices {
-            self.charge(slice, self.me, term);
+            self.set_assignment(slice, self.me, term);
             if let Some(served_term) = self.served_terms.get_mut(slice) {
                 *served_term = term;
             }
@@ -124,9 +124,9 @@
     }
 
     /// Notes that slices were handed over to another steward under this term.
-    pub fn gave(&mut self, slices: &[(usize, u64)], to: Life, term: u64) {
+    pub fn handed_over(&mut self, slices: &[(usize, u64)], to: Incarnation, term: u64) {
         for &(slice, _) in slices {
-            self.charge(slice, to, term);
+            self.set_assignment(slice, to, term);
         }
     }
 
@@ -216,14 +216,15 @@
     /// Returns the moves to even shares among the members that stay.
     fn moves(&self) -> Vec<crate::shares::Move> {
         // The store may not show yet that this steward is leaving.
-        let stays =
-            |member: Life, leaving: bool| !leaving && (member != self.me || self.leaving_since.is_none());
+        let stays = |member: Incarnation, leaving: bool| {
+            !leaving && (member != self.me || self.leaving_since.is_none())
+        };
         let members = self.members.iter().map(|(&incarnation, &leaving)| (incarnation, leaving));
-        let stay: Vec<Life> = members
+        let stay: Vec<Incarnation> = members
             .filter(|&(incarnation, leaving)| stays(incarnation, leaving))
             .map(|(incarnation, _)| incarnation)
             .collect();
-        let stewards: Vec<Option<Life>> = self
+        let stewards: Vec<Option<Incarnation>> = self
             .assignments
             .iter()
             .map(|assignment| assignment.map(|assignment| assignment.steward))
@@ -253,7 +254,7 @@
         gone.sort_unstable();
         gone.dedup();
         slices.sort_unstable();
-        (!slices.is_empty()).then_some(Step::Take { slices, gone })
+        (!slices.is_empty()).then_some(Step::TakeOver { slices, gone })
     }
 
     /// Returns one round of handing over this steward's excess slices, to one other steward.
@@ -288,6 +289,6 @@
         slices.iter().for_each(|&(slice, _)| self.served_terms[slice] = 0);
         self.hand_over_at = now + self.pace;
         self.next_check = self.next_check.min(self.hand_over_at);
-        Some(Step::Give { slices, to })
+        Some(Step::HandOver { slices, to })
     }
 }
--- a/crates/sharing/src/lib.rs
+++ b/crates/sharing/src/lib.rs
@@ -18,4 +18,4 @@
 
 /// One incarnation of a steward, from joining the fleet until its membership ends: the id of its lease at the store,
 /// which all stewards know it by.
-pub type Life = u64;
+pub type Incarnation = u64;
--- a/crates/sharing/src/shares.rs
+++ b/crates/sharing/src/shares.rs
@@ -1,13 +1,13 @@
 //! Even shares by number of slices, with the fewest changes of assignment.
 
-use crate::Life;
+use crate::Incarnation;
 
 /// A change of one slice's assignment. `from` is `None` if the slice is assigned to no member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Move {
     pub slice: usize,
-    pub from: Option<Life>,
-    pub to: Life,
+    pub from: Option<Incarnation>,
+    pub to: Incarnation,
 }
 
 /// Returns the moves after which the members' shares differ by at most one slice: first the unassigned slices, then the
@@ -16,13 +16,13 @@
 /// The number of moves is minimal: the members with the most slices keep the larger shares, and no member loses more
 /// than its excess. The result depends on the arguments alone, so stewards with the same information agree without
 /// communication.
-pub fn moves(assignments: &[Option<Life>], members: &[Life]) -> Vec<Move> {
+pub fn moves(assignments: &[Option<Incarnation>], members: &[Incarnation]) -> Vec<Move> {
     if members.is_empty() {
         return Vec::new();
     }
     let mut members = members.to_vec();
     members.sort_unstable();
-    let position = |steward: Life| members.binary_search(&steward).ok();
+    let position = |steward: Incarnation| members.binary_search(&steward).ok();
     let mut held = vec![0usize; members.len()];
     assignments.iter().flatten().filter_map(|&steward| position(steward)).for_each(|at| held[at] += 1);
     let (base, larger) = (assignments.len() / members.len(), assignments.len() % members.len());
--- a/crates/sharing/src/useful.rs
+++ b/crates/sharing/src/useful.rs
@@ -5,17 +5,17 @@
 //! reaches the forwarders again. How many forwarders the other stewards reach is known from hints alone; the worst effect
 //! of false hints is that slices are moved.
 
-use crate::{Life, Time};
+use crate::{Incarnation, Time};
 
 /// Decides from reachability whether this steward rests.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Useful {
+pub struct RestDetector {
     resting: bool,
     /// Since when the opposite state has been observed.
     since: Option<Time>,
 }
 
-impl Useful {
+impl RestDetector {
     /// How long reachability must be poor before the steward rests: forwarders that lost their streams reconnect within a
     /// second or two.
     const POOR_DURATION: Time = 30_000;
@@ -36,7 +36,7 @@
         others.sort_unstable();
         // The median, so that a single steward with too high a number makes no other rest.
         let Some(&median) = others.get(others.len() / 2) else {
-            *self = Useful::default();
+            *self = RestDetector::default();
             return false;
         };
         let (own, median) = (u64::from(own), u64::from(median));
@@ -48,19 +48,19 @@
         }
         let since = *self.since.get_or_insert(now);
         if now - since >= if self.resting { Self::GOOD_DURATION } else { Self::POOR_DURATION } {
-            *self = Useful { resting: !self.resting, since: None };
+            *self = RestDetector { resting: !self.resting, since: None };
         }
         self.resting
     }
 }
 
 /// A member's state in the store: incarnation, leaving, resting.
-pub type MemberState = (Life, bool, bool);
+pub type MemberState = (Incarnation, bool, bool);
 
 /// Returns each member and whether it is excluded from the shares, as [`crate::Fleet::members`] takes it: members that
 /// are leaving or resting. If more than half of the members that stay rest, the fault lies in the forwarders' network and
 /// not in the stewards, and resting members are not excluded.
-pub fn dealt_nothing(members: &[MemberState]) -> Vec<(Life, bool)> {
+pub fn excluded_members(members: &[MemberState]) -> Vec<(Incarnation, bool)> {
     let stay = members.iter().filter(|(_, leaving, _)| !leaving);
     let (stay, rest) =
         stay.fold((0, 0), |(all, rest), (_, _, resting)| (all + 1, rest + usize::from(*resting)));
@@ -80,7 +80,7 @@
 
     #[test]
     fn a_steward_that_reaches_less_than_half_rests_and_returns_after_a_longer_time() {
-        let mut detector = Useful::default();
+        let mut detector = RestDetector::default();
         assert!(!detector.look(0, 4, Some(&[10, 10, 9])));
         assert!(!detector.look(2 * SECOND, 4, Some(&[10, 10, 9])));
         assert!(detector.look(3 * SECOND, 4, Some(&[10, 10, 9])));
@@ -96,7 +96,7 @@
 
     #[test]
     fn a_fault_of_all_stewards_or_a_single_outlier_report_makes_no_steward_rest() {
-        let mut detector = Useful::default();
+        let mut detector = RestDetector::default();
         for second in 0..60 {
             assert!(!detector.look(second * SECOND, 0, Some(&[0, 0, 0, 0])));
             assert!(!detector.look(second * SECOND, 10, Some(&[10, 10, 4_000_000_000])));
@@ -106,7 +106,7 @@
 
     #[test]
     fn time_in_which_the_fleet_is_unknown_does_not_count() {
-        let mut detector = Useful::default();
+        let mut detector = RestDetector::default();
         assert!(!detector.look(0, 0, Some(&[10, 10])));
         assert!(!detector.look(2 * SECOND, 0, None));
         assert!(!detector.look(4 * SECOND, 0, Some(&[10, 10])));
@@ -116,7 +116,7 @@
 
     #[test]
     fn short_losses_of_reachability_are_ignored() {
-        let mut detector = Useful::default();
+        let mut detector = RestDetector::default();
         for second in 0..60 {
             // Forwarders are unreachable every other second.
             assert!(!detector.look(second * SECOND, if second % 2 == 0 { 0 } else { 10 }, Some(&[10, 10])));
@@ -126,7 +126,7 @@
     proptest! {
         #[test]
         fn at_least_half_of_the_staying_members_get_shares(members in prop::collection::vec((any::<u64>(), any::<bool>(), any::<bool>()), 0..30)) {
-            let dealt = dealt_nothing(&members);
+            let dealt = excluded_members(&members);
             let stay = members.iter().filter(|(_, leaving, _)| !leaving).count();
             let left = dealt.iter().filter(|(_, none)| !none).count();
             prop_assert!(2 * left >= stay);
--- a/crates/sharing/tests/explore/events.rs
+++ b/crates/sharing/tests/explore/events.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeSet, VecDeque};
 
-use ravenspar_sharing::useful::{dealt_nothing, MemberState};
+use ravenspar_sharing::useful::{excluded_members, MemberState};
 use ravenspar_sharing::Step;
 
 use super::world::{
@@ -102,21 +102,21 @@
                 let rests = |m: usize| resting >> m & 1 == 1;
                 let members: Vec<MemberState> =
                     self.members.iter().map(|&m| (incarnation(m), false, rests(m))).collect();
-                let members = dealt_nothing(&members);
+                let members = excluded_members(&members);
                 let fleet = &mut self.stewards[s].fleet;
                 for (slice, (steward, term)) in self.assignments.iter().enumerate() {
-                    fleet.charge(slice, incarnation(*steward), *term);
+                    fleet.set_assignment(slice, incarnation(*steward), *term);
                 }
                 fleet.members(&members);
             }
             Event::TakeStep(s) => match self.stewards[s].fleet.next(0, |_| true) {
                 Some(Step::Lost) => self.stewards[s].stopped = true,
-                Some(Step::Give { slices, to }) => {
+                Some(Step::HandOver { slices, to }) => {
                     for &(slice, _) in &slices {
                         self.stewards[s].serves[slice] = None;
                         self.send(s, &Message::Released(slice));
                     }
-                    self.stewards[s].request = Some((Request::Step(Step::Give { slices, to }), None));
+                    self.stewards[s].request = Some((Request::Step(Step::HandOver { slices, to }), None));
                 }
                 Some(step) => self.stewards[s].request = Some((Request::Step(step), None)),
                 None => {}
@@ -183,14 +183,14 @@
                 slices.iter().all(|&(slice, term)| assignments[slice].1 == term)
             };
             match &request {
-                Request::Step(Step::Take { slices, gone }) => {
+                Request::Step(Step::TakeOver { slices, gone }) => {
                     let are_gone = gone.iter().all(|&gone| !self.members.contains(&(gone as usize - 1)));
                     if are_gone && at(slices, &self.assignments) {
                         slices.iter().for_each(|&(slice, _)| self.assignments[slice] = (s, revision));
                         revision_written = revision;
                     }
                 }
-                Request::Step(Step::Give { slices, to }) => {
+                Request::Step(Step::HandOver { slices, to }) => {
                     let to = *to as usize - 1;
                     if self.members.contains(&to) && at(slices, &self.assignments) {
                         slices.iter().for_each(|&(slice, _)| self.assignments[slice] = (to, revision));
@@ -214,13 +214,13 @@
     pub(super) fn receive_outcome(&mut self, s: usize) {
         let Some((request, Some(revision_written))) = self.stewards[s].request.take() else { return };
         match request {
-            Request::Step(Step::Take { slices, .. }) if revision_written > 0 => {
+            Request::Step(Step::TakeOver { slices, .. }) if revision_written > 0 => {
                 let slices: Vec<_> = slices.iter().map(|&(slice, _)| (slice, revision_written)).collect();
                 self.serve(s, &slices);
             }
             Request::Step(Step::Serve { slices }) => self.serve(s, &slices),
-            Request::Step(Step::Give { slices, to }) if revision_written > 0 => {
-                self.stewards[s].fleet.gave(&slices, to, revision_written);
+            Request::Step(Step::HandOver { slices, to }) if revision_written > 0 => {
+                self.stewards[s].fleet.handed_over(&slices, to, revision_written);
             }
             Request::Step(_) => {}
             // The line was refused: the slice is assigned to another steward.
--- a/crates/sharing/tests/explore/world.rs
+++ b/crates/sharing/tests/explore/world.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::hash::{Hash, Hasher};
 
-use ravenspar_sharing::{Fleet, Life, Step};
+use ravenspar_sharing::{Fleet, Incarnation, Step};
 
 pub(super) const STEWARDS: usize = 3;
 
@@ -123,18 +123,19 @@
     MembershipExpiresAtStore(usize),
 }
 
-pub(super) fn incarnation(steward: usize) -> Life {
-    steward as Life + 1
+pub(super) fn incarnation(steward: usize) -> Incarnation {
+    steward as Incarnation + 1
 }
 
 impl World {
     /// The initial state: slices assigned as given, all granted to server 0, every forwarder joined at every steward and
     /// with a lease from it.
     pub(super) fn new(removed: Removed, assigned_to: [usize; SLICES]) -> World {
-        let members: Vec<(Life, bool)> = (0..STEWARDS).map(|steward| (incarnation(steward), false)).collect();
+        let members: Vec<(Incarnation, bool)> =
+            (0..STEWARDS).map(|steward| (incarnation(steward), false)).collect();
         let steward = |steward: usize| {
             let mut fleet = Fleet::new(0, incarnation(steward), SLICES, 0, 0);
-            (0..SLICES).for_each(|slice| fleet.charge(slice, incarnation(assigned_to[slice]), 1));
+            (0..SLICES).for_each(|slice| fleet.set_assignment(slice, incarnation(assigned_to[slice]), 1));
             fleet.members(&members);
             let mut serves = [const { None }; SLICES];
             for slice in (0..SLICES).filter(|&slice| assigned_to[slice] == steward) {
--- a/crates/sharing/tests/sharing.rs
+++ b/crates/sharing/tests/sharing.rs
@@ -3,9 +3,9 @@
 use proptest::prelude::*;
 use ravenspar_sharing::membership::Membership;
 use ravenspar_sharing::shares::{moves, Move};
-use ravenspar_sharing::{Fleet, Life, Step};
+use ravenspar_sharing::{Fleet, Incarnation, Step};
 
-fn after(assignments: &[Option<Life>], moves: &[Move]) -> Vec<Option<Life>> {
+fn after(assignments: &[Option<Incarnation>], moves: &[Move]) -> Vec<Option<Incarnation>> {
     let mut assignments = assignments.to_vec();
     for step in moves {
         assert_eq!(assignments[step.slice].filter(|_| step.from.is_some()), step.from);
@@ -14,25 +14,25 @@
     assignments
 }
 
-fn share_sizes(assignments: &[Option<Life>], members: &[Life]) -> Vec<usize> {
+fn share_sizes(assignments: &[Option<Incarnation>], members: &[Incarnation]) -> Vec<usize> {
     members
         .iter()
         .map(|member| assignments.iter().filter(|steward| **steward == Some(*member)).count())
         .collect()
 }
 
-fn is_even(assignments: &[Option<Life>], members: &[Life]) -> bool {
+fn is_even(assignments: &[Option<Incarnation>], members: &[Incarnation]) -> bool {
     let share_sizes = share_sizes(assignments, members);
     share_sizes.iter().sum::<usize>() == assignments.len()
         && share_sizes.iter().max().unwrap_or(&0) - share_sizes.iter().min().unwrap_or(&0) <= 1
 }
 
 /// Returns the fewest changes that lead to any even assignment, by trying all of them.
-fn fewest_changes(assignments: &[Option<Life>], members: &[Life]) -> usize {
+fn fewest_changes(assignments: &[Option<Incarnation>], members: &[Incarnation]) -> usize {
     let mut best = usize::MAX;
     for number in 0..members.len().pow(assignments.len() as u32) {
         let mut left = number;
-        let tried: Vec<Option<Life>> = assignments
+        let tried: Vec<Option<Incarnation>> = assignments
             .iter()
             .map(|_| {
                 let member = members[left % members.len()];
@@ -98,7 +98,7 @@
 
 #[test]
 fn only_the_slices_of_a_leaving_steward_move() {
-    let assignments: Vec<Option<Life>> = (0..9).map(|slice| Some(slice % 3)).collect();
+    let assignments: Vec<Option<Incarnation>> = (0..9).map(|slice| Some(slice % 3)).collect();
     let moves = moves(&assignments, &[0, 2]);
     assert!(moves.iter().all(|step| assignments[step.slice] == Some(1)), "{moves:?}");
     assert_eq!(moves.len(), 3);
@@ -109,16 +109,16 @@
 #[test]
 fn a_leaving_steward_waits_for_moving_slices_for_a_limited_time() {
     let mut fleet = Fleet::new(0, 1, 2, 0, 0);
-    (0..2).for_each(|slice| fleet.charge(slice, 1, 5));
+    (0..2).for_each(|slice| fleet.set_assignment(slice, 1, 5));
     fleet.members(&[(1, false), (2, false)]);
     fleet.served(&[(0, 5), (1, 5)]);
     fleet.leave(0);
     let moving = |slice: usize| slice == 0;
-    assert_eq!(fleet.next(0, moving), Some(Step::Give { slices: vec![(0, 5)], to: 2 }));
-    fleet.gave(&[(0, 5)], 2, 6);
+    assert_eq!(fleet.next(0, moving), Some(Step::HandOver { slices: vec![(0, 5)], to: 2 }));
+    fleet.handed_over(&[(0, 5)], 2, 6);
     fleet.done();
     assert_eq!(fleet.next(10_000, |_| false), None);
-    assert_eq!(fleet.next(20_000, |_| false), Some(Step::Give { slices: vec![(1, 5)], to: 2 }));
+    assert_eq!(fleet.next(20_000, |_| false), Some(Step::HandOver { slices: vec![(1, 5)], to: 2 }));
     // The outcome of the step never arrives.
     assert_eq!(fleet.next(99_999, |_| false), None);
     assert_eq!(fleet.next_at(), 100_000);
@@ -139,13 +139,15 @@
     let mut fleet = Fleet::new(0, 1, 4, 0, 0);
     [(0, 1), (1, 2), (2, 3), (3, 2)]
         .into_iter()
-        .for_each(|(slice, incarnation)| fleet.charge(slice, incarnation, 5));
+        .for_each(|(slice, incarnation)| fleet.set_assignment(slice, incarnation, 5));
     fleet.served(&[(0, 5)]);
     fleet.members(&[(1, false), (2, false), (3, false)]);
-    assert!(!matches!(fleet.next(0, |_| true), Some(Step::Take { .. })), "all members are present");
+    assert!(!matches!(fleet.next(0, |_| true), Some(Step::TakeOver { .. })), "all members are present");
     fleet.done();
     fleet.members(&[(1, false), (3, false)]);
-    let Some(Step::Take { slices, gone }) = fleet.next(0, |_| true) else { panic!("no slice is taken over") };
+    let Some(Step::TakeOver { slices, gone }) = fleet.next(0, |_| true) else {
+        panic!("no slice is taken over")
+    };
     assert_eq!(gone, [2]);
     assert!(!slices.is_empty() && slices.iter().all(|taken| [(1, 5), (3, 5)].contains(taken)), "{slices:?}");
 }
--- a/crates/standin/src/agent/streams.rs
+++ b/crates/standin/src/agent/streams.rs
@@ -7,7 +7,9 @@
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use ravenspar_jobs::{Ended, Told};
-use ravenspar_protocol::{codec, kind, tag, Body, Fault, Frame, MOST_DOWN, MOST_UP, VERSION};
+use ravenspar_protocol::{
+    codec, kind, tag, Body, DecodeError, Frame, MAX_BODY_FROM_PROXY, MAX_BODY_FROM_STEWARD, VERSION,
+};
 use tokio::net::TcpStream;
 use tokio::time::{interval, sleep, timeout};
 use tokio_util::codec::{FramedRead, FramedWrite};
@@ -35,13 +37,15 @@
 }
 
 async fn joined(agent: &Rc<Agent>, number: usize, address: SocketAddr) -> std::io::Result<()> {
-    let broken = |fault: Fault| std::io::Error::other(fault.to_string());
+    let broken = |fault: DecodeError| std::io::Error::other(fault.to_string());
     let connecting = timeout(Duration::from_millis(400), TcpStream::connect(address));
     let socket = connecting.await.map_err(std::io::Error::other)??;
     socket.set_nodelay(true)?;
     let (read, write) = socket.into_split();
-    let (mut read, mut write) =
-        (FramedRead::new(read, codec(MOST_DOWN)), FramedWrite::new(write, codec(MOST_UP)));
+    let (mut read, mut write) = (
+        FramedRead::new(read, codec(MAX_BODY_FROM_STEWARD)),
+        FramedWrite::new(write, codec(MAX_BODY_FROM_PROXY)),
+    );
     let mut look = interval(LOOK);
     let (mut life, mut kept_at) = (0, 0);
     let (mut ping_at, mut heard) = (0, agent.core.borrow().clock.now());
@@ -148,7 +152,7 @@
 }
 
 /// Takes a frame in; returns what is answered.
-fn take(agent: &Rc<Agent>, number: usize, body: &[u8]) -> Result<Vec<Bytes>, Fault> {
+fn take(agent: &Rc<Agent>, number: usize, body: &[u8]) -> Result<Vec<Bytes>, DecodeError> {
     let mut fields = Body::new(body)?;
     let kind = fields.kind();
     let (mut sent, mut life, mut term) = (0, 0, 0);
--- a/crates/standin/src/forwarder/stream.rs
+++ b/crates/standin/src/forwarder/stream.rs
@@ -7,7 +7,10 @@
 
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
-use ravenspar_protocol::{codec, kind, millionths, tag, Body, Fault, Frame, MOST_DOWN, MOST_UP, VERSION};
+use ravenspar_protocol::{
+    codec, kind, millionths, tag, Body, DecodeError, Frame, MAX_BODY_FROM_PROXY, MAX_BODY_FROM_STEWARD,
+    VERSION,
+};
 use tokio::net::TcpStream;
 use tokio::time::{interval, sleep, timeout, Instant};
 use tokio_util::codec::{FramedRead, FramedWrite};
@@ -53,13 +56,15 @@
     boot: u64,
     newest_term: &mut u64,
 ) -> std::io::Result<()> {
-    let broken = |fault: Fault| std::io::Error::other(fault.to_string());
+    let broken = |fault: DecodeError| std::io::Error::other(fault.to_string());
     let connecting = timeout(Duration::from_millis(400), TcpStream::connect(steward));
     let socket = connecting.await.map_err(std::io::Error::other)??;
     socket.set_nodelay(true)?;
     let (read, write) = socket.into_split();
-    let (mut read, mut write) =
-        (FramedRead::new(read, codec(MOST_DOWN)), FramedWrite::new(write, codec(MOST_UP)));
+    let (mut read, mut write) = (
+        FramedRead::new(read, codec(MAX_BODY_FROM_STEWARD)),
+        FramedWrite::new(write, codec(MAX_BODY_FROM_PROXY)),
+    );
     write.send(hello(forwarder, boot)).await?;
     let mut state = Joined { steward: number, lease: 0, read: false, next: Reading::default() };
     let (mut ping_every, mut report_every) = (Duration::from_secs(1), Duration::from_secs(1));
@@ -137,7 +142,7 @@
 }
 
 /// Returns the lease, the steward's term, and how often to ping and to report.
-fn welcome(forwarder: &Forwarder, mut body: Body) -> Result<(Time, u64, Duration, Duration), Fault> {
+fn welcome(forwarder: &Forwarder, mut body: Body) -> Result<(Time, u64, Duration, Duration), DecodeError> {
     let (mut term, mut lease, mut hold, mut settle, mut slices) = (0, 0, 0, 0, 0);
     let (mut ping, mut report) = (Duration::from_secs(1), Duration::from_secs(1));
     let mut kinds = Vec::new();
@@ -159,7 +164,11 @@
 }
 
 /// A part of the whole table; with its end the table takes the place of the one before, and that is answered.
-fn read_part(forwarder: &Forwarder, state: &mut Joined, mut body: Body) -> Result<Option<Bytes>, Fault> {
+fn read_part(
+    forwarder: &Forwarder,
+    state: &mut Joined,
+    mut body: Body,
+) -> Result<Option<Bytes>, DecodeError> {
     let mut answer = None;
     while let Some((tag, mut field)) = body.field()? {
         if tag != tag::END {
@@ -175,9 +184,9 @@
 }
 
 /// Applies changes, stands still for their lines, and returns the answer that is asked for.
-fn take(forwarder: &Forwarder, state: &Joined, mut body: Body) -> Result<Option<Bytes>, Fault> {
+fn take(forwarder: &Forwarder, state: &Joined, mut body: Body) -> Result<Option<Bytes>, DecodeError> {
     if !state.read {
-        return Err(Fault::Empty); // the whole table comes first
+        return Err(DecodeError::Empty); // the whole table comes first
     }
     let (mut answer, mut asked, mut lines) = (Frame::new(kind::ANSWER), false, 0);
     let mut core = forwarder.core.borrow_mut();
--- a/crates/standin/src/forwarder/table.rs
+++ b/crates/standin/src/forwarder/table.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use ravenspar_protocol::{tag, Fault, Numbers};
+use ravenspar_protocol::{tag, DecodeError, Field};
 
 use crate::Time;
 
@@ -98,7 +98,7 @@
     }
 
     /// Takes in one field of a part of the whole table.
-    pub fn read(&self, reading: &mut Reading, tag: u8, mut field: Numbers) -> Result<(), Fault> {
+    pub fn read(&self, reading: &mut Reading, tag: u8, mut field: Field) -> Result<(), DecodeError> {
         match tag {
             tag::CHARGE => {
                 let (first, count, term) = (field.index()?, field.index()?, field.number()?);
@@ -142,7 +142,7 @@
     }
 
     /// Takes in one field of a change; true where it was a line.
-    pub fn take(&mut self, steward: usize, tag: u8, mut field: Numbers) -> Result<bool, Fault> {
+    pub fn take(&mut self, steward: usize, tag: u8, mut field: Field) -> Result<bool, DecodeError> {
         match tag {
             tag::CHARGE => {
                 let (first, count, term) = (field.index()?, field.index()?, field.number()?);
@@ -210,7 +210,7 @@
     }
 
     /// Whether a field leaves every slice that has an owner with that one.
-    pub fn keeps_owners(&self, tag: u8, mut field: Numbers) -> bool {
+    pub fn keeps_owners(&self, tag: u8, mut field: Field) -> bool {
         if !matches!(tag, tag::LINE | tag::DROP) {
             return true;
         }
@@ -265,7 +265,7 @@
 
 impl Line {
     /// The rest of a line behind its slice: server, weight.
-    fn take(&mut self, field: &mut Numbers, servers: &BTreeMap<u64, SocketAddr>) -> Result<(), Fault> {
+    fn take(&mut self, field: &mut Field, servers: &BTreeMap<u64, SocketAddr>) -> Result<(), DecodeError> {
         let (server, weight) = (field.number()?, field.fraction()?);
         let owner = servers.get(&server).map(|&address| Owner { server: Some(server), address });
         self.owner = owner.filter(|_| weight > 0.0);
@@ -275,7 +275,7 @@
 }
 
 impl Steward {
-    fn take(&mut self, tag: u8, mut field: Numbers) -> Result<(), Fault> {
+    fn take(&mut self, tag: u8, mut field: Field) -> Result<(), DecodeError> {
         let server = field.number()?;
         if tag == tag::ADDRESS {
             self.servers.extend(field.text()?.parse().ok().map(|address| (server, address)));
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -8,7 +8,7 @@
 
 use bytes::{Bytes, BytesMut};
 use futures_util::{SinkExt, StreamExt};
-use ravenspar_protocol::{codec, Body, Fault, Frame};
+use ravenspar_protocol::{codec, Body, DecodeError, Frame};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::{mpsc, Notify};
 use tokio::task::{spawn_local, AbortHandle};
@@ -254,7 +254,7 @@
         }
     }
 
-    fn take(self: &Rc<Server>, body: &BytesMut, answers: &mpsc::Sender<Bytes>) -> Result<(), Fault> {
+    fn take(self: &Rc<Server>, body: &BytesMut, answers: &mpsc::Sender<Bytes>) -> Result<(), DecodeError> {
         let mut body = Body::new(body)?;
         if body.kind() != REQ {
             return Ok(());
