--- a/crates/drill/src/wire.rs
+++ b/crates/drill/src/wire.rs
@@ -6,7 +6,7 @@
 use std::str::FromStr;
 
 use ravenspar_steward::{
-    from_seconds, Health, IdTable, Order, Scope, Settings, Steward, Time, SECOND, WHOLE,
+    from_seconds, Health, IdTable, ListScope, Order, Settings, Steward, Time, FULL_WEIGHT, SECOND,
 };
 
 /// One steward with its own id tables. Instances share no state.
@@ -194,7 +194,7 @@
                 let _ = writeln!(reply, "GIVE_IN i=steward-{number} words=the setting {name} is missing");
             }
             if let Some(instance) = self.instances.get_mut(&number) {
-                instance.steward.news_heard(now);
+                instance.steward.notification_received(now);
                 while let Some(order) = instance.steward.next_order(now) {
                     instance.write_order(number, &order, &mut reply);
                 }
@@ -223,21 +223,21 @@
         let proxy = |line: &Message| line.get::<u16>("client_lb").map(usize::from);
         match line.name {
             "MEMBERSHIP" => self.list(now, line, lists)?,
-            "JOINED" => self.steward.joined(proxy(line)?, line.number("heft").unwrap_or(0.0)),
-            "STREAM_DOWN" => self.steward.stream_down(now, proxy(line)?),
-            "INSTALLED" => self.steward.installed(now, proxy(line)?, line.get("number")?),
+            "JOINED" => self.steward.proxy_joined(proxy(line)?, line.number("heft").unwrap_or(0.0)),
+            "STREAM_DOWN" => self.steward.proxy_disconnected(now, proxy(line)?),
+            "INSTALLED" => self.steward.mark_answered(now, proxy(line)?, line.get("number")?),
             "GIVEN" => {
                 let slice = self.slice(line)?;
                 match line.flag("active")? {
-                    true => self.steward.given(now, slice),
-                    false => self.steward.taken(slice),
+                    true => self.steward.slice_assigned(now, slice),
+                    false => self.steward.slice_unassigned(slice),
                 }
             }
             "ON_RECORD" => {
                 let slice = self.slice(line)?;
                 let weight = line.number("heft")?;
                 let server = self.server(line)?;
-                self.steward.on_record(now, slice, server, weight);
+                self.steward.line_recorded(now, slice, server, weight);
             }
             "TRAFFIC_REPORT" => {
                 let (count, failed) = (line.number("tries_n")?, line.number("failed")?);
@@ -248,14 +248,14 @@
                 let util =
                     util.and_then(|(_, value)| value.parse().ok()).filter(|util: &f64| util.is_finite());
                 let server = self.server(line)?;
-                self.steward.traffic(now, server, count, failed, took, util);
+                self.steward.traffic_reported(now, server, count, failed, took, util);
             }
             "HOTNESS" => {
                 let name = line.text("qos")?;
                 let kind = self.kinds.find(&name.to_owned());
                 let kind = kind.ok_or_else(|| format!("HOTNESS: field qos is unknown: {name:.80}"))?;
                 let (slice, count) = (self.slice(line)?, line.number("tries_n")?);
-                self.steward.demand(now, slice, kind, count, line.time("window_s")?);
+                self.steward.demand_reported(now, slice, kind, count, line.time("window_s")?);
             }
             "REMINDER" => self.steward.reminder(),
             "TRAFFIC" | "HEARD" | "PING_RESULT" => {}
@@ -270,9 +270,9 @@
                 self.steward.list_failed(now);
                 return Ok(());
             }
-            "diff" => Scope::Changes,
-            "snapshot" => Scope::Whole,
-            "disk" => Scope::Kept,
+            "diff" => ListScope::Changes,
+            "snapshot" => ListScope::Complete,
+            "disk" => ListScope::Stored,
             value => return Err(format!("MEMBERSHIP: field scope can't be read: {value:.80}")),
         };
         let sheet: u8 = line.get("sheet")?;
@@ -307,18 +307,18 @@
         // Writing to a string can't fail.
         let _ = match order {
             Order::SetLine { slice, server } => {
-                writeln!(reply, "SET_LINE {i} map_id={slice} heft={WHOLE} host={}", host(server))
+                writeln!(reply, "SET_LINE {i} map_id={slice} heft={FULL_WEIGHT} host={}", host(server))
             }
             Order::DropLines { slice } => writeln!(reply, "DROP_LINES {i} map_id={slice}"),
-            Order::Level { slice, kinds, share } => {
+            Order::SetLevel { slice, kinds, share } => {
                 let table = slice.unwrap_or(65_535);
                 writeln!(reply, "RATION {i} quota={share} only={kinds} retry_mode=0 map_id={table}")
             }
             Order::Withdraw { server, out } => {
                 writeln!(reply, "WITHDRAW {i} host={} active={}", host(server), u8::from(*out))
             }
-            Order::Stamp { number } => writeln!(reply, "STAMP {i} number={number} active=1"),
-            Order::Watch => writeln!(reply, "STREAM_CHANGES {i} active=1"),
+            Order::Mark { number } => writeln!(reply, "STAMP {i} number={number} active=1"),
+            Order::SubscribeList => writeln!(reply, "STREAM_CHANGES {i} active=1"),
             Order::Remind { at } => {
                 writeln!(reply, "REMIND {i} ctx=1 time_s={}.{:04}", at / SECOND, at % SECOND)
             }
--- a/crates/host/src/host.rs
+++ b/crates/host/src/host.rs
@@ -7,7 +7,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 
-use ravenspar_steward::{Health, IdTable, Scope, Settings, Steward, Time};
+use ravenspar_steward::{Health, IdTable, ListScope, Settings, Steward, Time};
 
 use crate::channel::Channel;
 use crate::limits::Limits;
@@ -94,10 +94,10 @@
         let mut host = Host::without_slices(now, seed, cfg, term, list)?;
         host.table = Table::new(host.limits.slices, term);
         host.terms = vec![term; host.limits.slices];
-        (0..host.limits.slices).for_each(|slice| host.steward.given(now, slice));
+        (0..host.limits.slices).for_each(|slice| host.steward.slice_assigned(now, slice));
         for (slice, owner, weight) in record.iter().filter(|(slice, ..)| *slice < host.limits.slices) {
             let server = host.servers.index(owner);
-            host.steward.on_record(now, *slice, server, *weight);
+            host.steward.line_recorded(now, *slice, server, *weight);
             host.table.apply(&Change::Route { slice: *slice, server, weight: *weight });
         }
         if term > 1 {
@@ -119,13 +119,13 @@
         let mut steward = Steward::new(now, seed, cfg)?;
         let mut servers = Servers::default();
         // The list comes first: it defines which start of a server the record refers to.
-        steward.list_begin(Scope::Kept);
+        steward.list_begin(ListScope::Stored);
         for (server, health, boot) in list {
             let server = servers.learn(&server.id, &server.zone, &server.address);
             servers.set_listed(server, *health, *boot);
             steward.list_entry(server, *health, *boot);
         }
-        steward.list_end(Scope::Kept);
+        steward.list_end(ListScope::Stored);
         Ok(Host {
             steward,
             term,
@@ -185,9 +185,9 @@
     }
 
     /// Starts a server list; entries follow with `list_entry`, and `list_end` completes it.
-    pub fn list_begin(&mut self, scope: Scope) {
+    pub fn list_begin(&mut self, scope: ListScope) {
         self.decision_due = true;
-        if scope != Scope::Changes {
+        if scope != ListScope::Changes {
             self.servers.clear_listed();
         }
         self.steward.list_begin(scope);
@@ -201,7 +201,7 @@
     }
 
     /// Completes the server list.
-    pub fn list_end(&mut self, scope: Scope) {
+    pub fn list_end(&mut self, scope: ListScope) {
         self.steward.list_end(scope);
     }
 
@@ -244,7 +244,7 @@
                 }
             } else if let Some(number) = entry.deferred_answer.take() {
                 self.decision_due = true;
-                self.steward.installed(now, proxy, number);
+                self.steward.mark_answered(now, proxy, number);
             }
         }
         while let Some(&Reverse((_, stream))) = self.deadlines.peek().filter(|d| d.0 .0 <= now) {
--- a/crates/host/src/host/messages.rs
+++ b/crates/host/src/host/messages.rs
@@ -122,7 +122,7 @@
                 self.deferred_answers.push(Reverse((answers_count_from, proxy)));
             } else {
                 self.decision_due = true;
-                self.steward.installed(now, proxy, number);
+                self.steward.mark_answered(now, proxy, number);
             }
         }
         Ok(())
@@ -157,7 +157,7 @@
         entry.joined = true;
         self.joined += 1;
         self.decision_due = true;
-        self.steward.joined(proxy, entry.baseline);
+        self.steward.proxy_joined(proxy, entry.baseline);
         self.outputs.push_back(Output::Joined { stream, proxy });
         self.write_priority(now, stream);
     }
--- a/crates/host/src/host/streams.rs
+++ b/crates/host/src/host/streams.rs
@@ -47,7 +47,7 @@
         if std::mem::replace(&mut entry.joined, false) {
             self.joined -= 1;
             self.decision_due = true;
-            self.steward.stream_down(now, proxy);
+            self.steward.proxy_disconnected(now, proxy);
         }
     }
 
--- a/crates/host/src/host/updates.rs
+++ b/crates/host/src/host/updates.rs
@@ -1,7 +1,7 @@
 //! Updates: all decisions of one moment, recorded and then published to the proxies.
 
 use ravenspar_protocol::Frame;
-use ravenspar_steward::{Order, Time, WHOLE};
+use ravenspar_steward::{Order, Time, FULL_WEIGHT};
 
 use super::Host;
 use crate::proxy::NEVER;
@@ -13,23 +13,23 @@
     pub(super) fn update(&mut self, now: Time) {
         let (mut changes, mut epoch) = (Vec::new(), None);
         // Frames are handled as they are read, so all answers up to now are known.
-        self.steward.news_heard(now);
+        self.steward.notification_received(now);
         while let Some(order) = self.steward.next_order(now) {
             match order {
                 Order::SetLine { slice, server } => {
-                    changes.push(Change::Route { slice, server, weight: WHOLE });
+                    changes.push(Change::Route { slice, server, weight: FULL_WEIGHT });
                 }
                 Order::DropLines { slice } => changes.push(Change::Drop { slice }),
-                Order::Level { slice, kinds, share } => {
+                Order::SetLevel { slice, kinds, share } => {
                     changes.push(Change::AdmissionRatio { slice, kinds, share })
                 }
                 Order::Withdraw { server, out } => changes.push(Change::Withdraw { server, out }),
-                Order::Stamp { number } => {
+                Order::Mark { number } => {
                     // Epochs are sent in full; the steward's numbers are their low 16 bits.
                     self.epoch += u64::from(number.wrapping_sub(self.epoch as u16));
                     epoch = Some(self.epoch);
                 }
-                Order::Watch => self.outputs.push_back(Output::Watch),
+                Order::SubscribeList => self.outputs.push_back(Output::Watch),
                 Order::Remind { at } => _ = self.reminders.insert(at),
             }
         }
--- a/crates/host/src/ownership.rs
+++ b/crates/host/src/ownership.rs
@@ -1,7 +1,7 @@
 //! Assignment of slices to this steward and their release, where several stewards share the slices.
 
 use ravenspar_protocol::Frame;
-use ravenspar_steward::{Health, Scope, Time};
+use ravenspar_steward::{Health, ListScope, Time};
 
 use crate::proxy::NEVER;
 use crate::table::{write_assigned, write_left, Change};
@@ -43,11 +43,11 @@
             let slice = assigned.slice;
             self.terms[slice] = assigned.term;
             self.taken_over[slice] = assigned.echoed_until.unwrap_or(NEVER);
-            self.steward.given(assigned.echoed_until.unwrap_or(now).max(now), slice);
+            self.steward.slice_assigned(assigned.echoed_until.unwrap_or(now).max(now), slice);
             changes.push(Change::Assigned { slice, term: assigned.term });
             if let Some((owner, weight, _)) = &assigned.owner {
                 let (server, weight) = (self.servers.index(owner), *weight);
-                self.steward.on_record(now, slice, server, weight);
+                self.steward.line_recorded(now, slice, server, weight);
                 let recorded = Change::Held { slice, server, weight };
                 recorded.write(&self.servers, &mut fields);
                 changes.push(recorded);
@@ -68,7 +68,7 @@
         let entries = write_left(&slices, &mut fields);
         for &slice in &slices {
             self.terms[slice] = 0;
-            self.steward.taken(slice);
+            self.steward.slice_unassigned(slice);
         }
         let changes = slices.iter().map(|&slice| Change::Left { slice }).collect();
         self.release_end = self.publish(fields, changes, entries) + 1;
@@ -100,12 +100,12 @@
     fn apply_recorded_start(&mut self, id: &str, boot: Time) {
         let server = self.servers.index(id);
         let Some(listed) = self.servers.record_start(server, boot) else { return };
-        self.steward.list_begin(Scope::Changes);
+        self.steward.list_begin(ListScope::Changes);
         self.steward.list_entry(server, listed.unwrap_or(Health::Ready), boot);
         if listed.is_none() {
             self.steward.list_entry(server, Health::Gone, boot);
         }
-        self.steward.list_end(Scope::Changes);
+        self.steward.list_end(ListScope::Changes);
     }
 
     /// Publishes an update that has no routes to record; returns its number.
--- a/crates/host/src/totals.rs
+++ b/crates/host/src/totals.rs
@@ -79,10 +79,10 @@
                 Key::Traffic { server, .. } => {
                     let succeeded = total.count - total.failed;
                     let took = if succeeded > 0.0 { (total.took / succeeded) as Time } else { 0 };
-                    steward.traffic(now, server, total.count, total.failed, took, total.util);
+                    steward.traffic_reported(now, server, total.count, total.failed, took, total.util);
                 }
                 Key::Demand { slice, kind } => {
-                    steward.demand(now, slice, kind, total.count, (now - total.since).max(1));
+                    steward.demand_reported(now, slice, kind, total.count, (now - total.since).max(1));
                 }
             }
         }
--- a/crates/host/tests/charges.rs
+++ b/crates/host/tests/charges.rs
@@ -5,7 +5,7 @@
 use common::*;
 use ravenspar_host::{AssignedSlice, Host, Output};
 use ravenspar_protocol::{kind, tag};
-use ravenspar_steward::{Health, Scope, Time, SECOND};
+use ravenspar_steward::{Health, ListScope, Time, SECOND};
 
 fn host_without_slices(now: Time, slices: usize, proxies: usize, servers: &[&str]) -> Host {
     let mut host =
@@ -111,10 +111,10 @@
         AssignedSlice { echoed_until: Some(at + lead), ..assigned_slice(0, 9, Some(("a", 1.0))) };
     host.assign(at, &[taken_over]);
     run_for_span(&mut host, at, at + SECOND / 10, &[1]);
-    host.list_begin(Scope::Whole);
+    host.list_begin(ListScope::Complete);
     host.list_entry("a", "zone", "127.0.0.1:1", Health::Draining, 0);
     host.list_entry("b", "zone", "127.0.0.1:1", Health::Ready, 0);
-    host.list_end(Scope::Whole);
+    host.list_end(ListScope::Complete);
     let mut now = at + SECOND / 10;
     let (mut dropped, mut granted) = (None, None);
     while granted.is_none() && now < at + 10 * LEASE {
@@ -141,10 +141,10 @@
     assert_eq!(host.boot(server_index(&host, "a")), 77);
     run_for_span(&mut host, 0, SECOND, &[1]);
     // The list now shows that start, with the server draining: the slice is revoked and settles as usual.
-    host.list_begin(Scope::Whole);
+    host.list_begin(ListScope::Complete);
     host.list_entry("a", "zone", "127.0.0.1:1", Health::Draining, 77);
     host.list_entry("b", "zone", "127.0.0.1:1", Health::Ready, 0);
-    host.list_end(Scope::Whole);
+    host.list_end(ListScope::Complete);
     let mut now = SECOND;
     let (mut dropped, mut opened) = (None, None);
     while opened.is_none() && now < 20 * (LEASE + SETTLE) {
--- a/crates/host/tests/common/mod.rs
+++ b/crates/host/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use ravenspar_host::{Host, Output};
 use ravenspar_protocol::{kind, tag, Body, Frame, VERSION};
-use ravenspar_steward::{Health, Scope, Settings, Time, SECOND};
+use ravenspar_steward::{Health, ListScope, Settings, Time, SECOND};
 
 pub const LEASE: Time = SECOND;
 pub const SETTLE: Time = SECOND;
@@ -59,11 +59,11 @@
 
 /// Passes a complete server list: these servers, all with this health.
 pub fn list(host: &mut Host, servers: &[&str], health: Health) {
-    host.list_begin(Scope::Whole);
+    host.list_begin(ListScope::Complete);
     for id in servers {
         host.list_entry(id, "zone", "127.0.0.1:1", health, 0);
     }
-    host.list_end(Scope::Whole);
+    host.list_end(ListScope::Complete);
 }
 
 pub fn hello(proxy: u64, boot: u64) -> Vec<u8> {
--- a/crates/host/tests/earlier_lives.rs
+++ b/crates/host/tests/earlier_lives.rs
@@ -6,7 +6,7 @@
 use common::*;
 use ravenspar_host::{Host, Output, Server};
 use ravenspar_protocol::{kind, tag};
-use ravenspar_steward::{Health, Scope, Time, SECOND};
+use ravenspar_steward::{Health, ListScope, Time, SECOND};
 
 const SERVERS: [&str; 2] = ["a", "b"];
 /// Interval at which the host is polled.
@@ -14,11 +14,11 @@
 
 /// Passes a complete server list in which the first server is draining.
 fn drain(host: &mut Host) {
-    host.list_begin(Scope::Whole);
+    host.list_begin(ListScope::Complete);
     for (id, health) in SERVERS.iter().zip([Health::Draining, Health::Ready]) {
         host.list_entry(id, "zone", "127.0.0.1:1", health, 0);
     }
-    host.list_end(Scope::Whole);
+    host.list_end(ListScope::Complete);
 }
 
 /// A host that starts from another steward's record: one slice at the first server.
--- a/crates/host/tests/leases.rs
+++ b/crates/host/tests/leases.rs
@@ -13,7 +13,7 @@
 use common::{hello, ping, settings, LEASE, SETTLE};
 use ravenspar_host::{Host, Output, Server};
 use ravenspar_protocol::{kind, tag, Body, Frame};
-use ravenspar_steward::{Health, Scope, Time, SECOND};
+use ravenspar_steward::{Health, ListScope, Time, SECOND};
 
 const SLICES: usize = 3;
 const PROXIES: usize = 3;
@@ -139,11 +139,11 @@
 
     /// Passes the complete server list to the host.
     fn list(&mut self) {
-        self.host.list_begin(Scope::Whole);
+        self.host.list_begin(ListScope::Complete);
         for (id, health) in SERVERS.iter().zip(self.health) {
             self.host.list_entry(id, "zone", "127.0.0.1:1", health, 0);
         }
-        self.host.list_end(Scope::Whole);
+        self.host.list_end(ListScope::Complete);
     }
 
     fn run(&mut self, until: Time) {
--- a/crates/platform/src/calls.rs
+++ b/crates/platform/src/calls.rs
@@ -32,7 +32,7 @@
 
 impl QueuedOrder {
     fn is_mark(&self) -> bool {
-        matches!(self.order, Order::Stamp { .. })
+        matches!(self.order, Order::Mark { .. })
     }
 
     /// Returns true if no message is counted for it yet. Marks are excluded: each message has its own.
@@ -43,7 +43,7 @@
     /// Returns true if it only takes permissions away, and so is safe whatever the current state is.
     fn is_restrictive(&self) -> bool {
         match self.order {
-            Order::DropLines { .. } | Order::Stamp { .. } => true,
+            Order::DropLines { .. } | Order::Mark { .. } => true,
             Order::Withdraw { out, .. } => out,
             _ => false,
         }
@@ -151,7 +151,7 @@
 pub fn slice_of(order: &Order) -> Option<usize> {
     match order {
         Order::SetLine { slice, .. } | Order::DropLines { slice } => Some(*slice),
-        Order::Level { slice, .. } => *slice,
+        Order::SetLevel { slice, .. } => *slice,
         _ => None,
     }
 }
@@ -277,7 +277,7 @@
         let call = self.waiting.front()?;
         self.last_id += 1;
         self.in_flight = Some(self.last_id);
-        if let Some(Order::Stamp { number }) = call.last().map(|item| &item.order) {
+        if let Some(Order::Mark { number }) = call.last().map(|item| &item.order) {
             self.marks.push(*number);
         }
         let changes: Vec<&str> = call.iter().map(|item| item.text.as_str()).collect();
--- a/crates/platform/src/calls/tests.rs
+++ b/crates/platform/src/calls/tests.rs
@@ -5,7 +5,7 @@
 }
 
 fn stamp(number: u16) -> (Order, String) {
-    (Order::Stamp { number }, format!(r#"{{"verb":"mark","nonce_out":{number},"flag":1}}"#))
+    (Order::Mark { number }, format!(r#"{{"verb":"mark","nonce_out":{number},"flag":1}}"#))
 }
 
 fn answer_line(id: u64, accepted: u64) -> String {
@@ -117,7 +117,7 @@
 
 fn level(share: f64) -> (Order, String) {
     let text = format!(r#"{{"verb":"admit","cluster":1,"routes":["write"],"admit":{share}}}"#);
-    (Order::Level { slice: Some(1), kinds: 2, share }, text)
+    (Order::SetLevel { slice: Some(1), kinds: 2, share }, text)
 }
 
 /// While the subscription is not live a level is no protection: the slice may be assigned to another steward, and the
@@ -143,7 +143,7 @@
 
 fn shut(slice: usize) -> (Order, String) {
     let text = format!(r#"{{"verb":"admit","cluster":{slice},"routes":["read","write"],"admit":0.0}}"#);
-    (Order::Level { slice: Some(slice), kinds: 3, share: 0.0 }, text)
+    (Order::SetLevel { slice: Some(slice), kinds: 3, share: 0.0 }, text)
 }
 
 /// The ledger has capacity for only a part of a repeated grant to a cold server: its level of 0 is sent with it.
--- a/crates/platform/src/servers.rs
+++ b/crates/platform/src/servers.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use ravenspar_steward::{Health, IdTable, Scope, Steward, Time, SECOND};
+use ravenspar_steward::{Health, IdTable, ListScope, Steward, Time, SECOND};
 use serde_json::Value;
 
 use crate::fields::{self, DecodeError};
@@ -80,7 +80,7 @@
         &mut self,
         now: Time,
         list: &Value,
-        scope: Scope,
+        scope: ListScope,
         steward: &mut Steward,
     ) -> Result<(), DecodeError> {
         let entries = list["instances"].as_array();
@@ -96,13 +96,13 @@
                     first_error = first_error.and(Err(error));
                     match raw["instanceId"].as_str() {
                         Some(id) => kept.extend(self.find(id)),
-                        None => scope = if scope == Scope::Whole { Scope::Changes } else { scope },
+                        None => scope = if scope == ListScope::Complete { ListScope::Changes } else { scope },
                     }
                 }
             }
         }
         kept.retain(|&server| self.listed[server]);
-        let mut listed = if scope == Scope::Changes { self.listed.clone() } else { Vec::new() };
+        let mut listed = if scope == ListScope::Changes { self.listed.clone() } else { Vec::new() };
         steward.list_begin(scope);
         for (id, health, listed_start) in read {
             // A gone host that is unknown needs no index.
@@ -118,12 +118,12 @@
             steward.list_entry(server, health, started);
         }
         listed.resize(self.listed.len(), false);
-        for server in kept.into_iter().filter(|_| scope != Scope::Changes) {
+        for server in kept.into_iter().filter(|_| scope != ListScope::Changes) {
             listed[server] = true;
             steward.list_entry(server, self.last[server].health, self.last[server].started);
         }
         steward.list_end(scope);
-        self.has_whole_list |= scope == Scope::Whole;
+        self.has_whole_list |= scope == ListScope::Complete;
         for (server, listed) in listed.into_iter().enumerate() {
             if self.listed[server] && !listed && !self.gone.contains(&server) {
                 self.gone.push_back(server);
--- a/crates/platform/src/session.rs
+++ b/crates/platform/src/session.rs
@@ -10,7 +10,7 @@
 mod orders;
 mod reports;
 
-use ravenspar_steward::{Order, Scope, Settings, Steward, Time, Waiting, SECOND};
+use ravenspar_steward::{ListScope, Order, Settings, Steward, Time, WaitingLines, SECOND};
 use serde_json::Value;
 
 use crate::calls::{slice_of, AnswerOutcome, AppliedCall, CallState, Calls, LostCall};
@@ -53,7 +53,7 @@
     /// The current hold of decisions, if there is one.
     pub held: Option<Held>,
     /// Lines that the ledger counts as waiting in the channel.
-    pub waiting: Waiting,
+    pub waiting: WaitingLines,
 }
 
 /// Translates between the messages of the platform and the decisions of one steward.
@@ -107,7 +107,7 @@
         let mut servers = Servers::default();
         if !known.is_null() {
             servers
-                .apply_list(now, known, Scope::Kept, &mut steward)
+                .apply_list(now, known, ListScope::Stored, &mut steward)
                 .map_err(|error| format!("known: {error}"))?;
         }
         Ok(Session {
@@ -194,7 +194,7 @@
         }
         let has_entries = complete || list["instances"].as_array().is_none_or(|entries| !entries.is_empty());
         if has_entries {
-            let scope = if complete { Scope::Whole } else { Scope::Changes };
+            let scope = if complete { ListScope::Complete } else { ListScope::Changes };
             self.servers
                 .apply_list(now, &list, scope, &mut self.steward)
                 .map_err(|error| error.to_string())?;
@@ -237,7 +237,7 @@
     /// Records that a call was applied, as a proxy has acknowledged its mark.
     pub(crate) fn call_confirmed(&mut self, call: AppliedCall) {
         for (slice, _) in call.orders.iter().filter_map(line_of).filter(|(_, line)| line.is_none()) {
-            self.steward.revoke_proven(slice, call.number);
+            self.steward.revoke_confirmed(slice, call.number);
         }
         self.orders_applied(call.orders);
     }
@@ -312,11 +312,11 @@
         }
         let orders = self.orders(now, Steward::next_restriction);
         if !orders.is_empty() && !self.calls.settled() {
-            self.steward.uncount_last();
+            self.steward.uncount_last_update();
             let revoked = orders.iter().filter(|(order, _)| matches!(order, Order::DropLines { .. }));
             revoked
                 .filter_map(|(order, _)| slice_of(order))
-                .for_each(|slice| self.steward.revoke_waits(slice));
+                .for_each(|slice| self.steward.revoke_deferred(slice));
         }
         // The ledger has no capacity: retry soon.
         self.retry_at = self.steward.is_restriction_due().then_some(now + SHORT_HOLD);
@@ -332,15 +332,15 @@
         }
         let uncounted = self.calls.uncounted();
         if uncounted > 0 {
-            let Some(repeat) = self.steward.repeat(now, uncounted) else {
+            let Some(repeat) = self.steward.resend(now, uncounted) else {
                 self.calls.delay_next(now);
                 return None;
             };
-            let mark = Order::Stamp { number: repeat.number };
+            let mark = Order::Mark { number: repeat.number };
             let text = self.text(&mark);
             self.calls.count(repeat.orders, (mark, text));
             self.calls.revoked_first().for_each(|slice| self.steward.revoke_written(slice));
-            self.calls.revoked_later().for_each(|slice| self.steward.revoke_waits(slice));
+            self.calls.revoked_later().for_each(|slice| self.steward.revoke_deferred(slice));
         }
         let line = self.calls.next(now)?;
         let CallState::InFlight(id) = self.calls.state() else { return None };
--- a/crates/platform/src/session/notifications.rs
+++ b/crates/platform/src/session/notifications.rs
@@ -27,7 +27,7 @@
         match notification {
             Notification::Subscribed => self.subscribed(now),
             Notification::Heartbeat => self.heartbeat(now),
-            Notification::Joined { proxy, usual } => self.joined(proxy, usual),
+            Notification::Joined { proxy, usual } => self.proxy_joined(proxy, usual),
             Notification::Left { proxy } => self.left(now, proxy),
             Notification::Acknowledged { proxy, number } => self.acknowledged(now, proxy, number),
             Notification::Assigned { slice } => self.assigned(now, slice),
@@ -45,7 +45,7 @@
         self.awaiting_notification = false;
         if self.subscription.is_live() {
             self.last_live_notification = Some(now);
-            self.steward.news_heard(now);
+            self.steward.notification_received(now);
         }
         Ok(())
     }
@@ -66,7 +66,7 @@
             _ => now,
         };
         self.subscription = Subscription::Lost { since };
-        self.steward.news_interrupted();
+        self.steward.notifications_interrupted();
         self.mark_lines_uncertain();
     }
 
@@ -84,14 +84,14 @@
         let snapshot =
             Snapshot { last_live: self.last_live_notification, earliest, began: now, ..Snapshot::default() };
         self.subscription = Subscription::Snapshot(snapshot);
-        self.steward.news_resumed(now);
+        self.steward.notifications_resumed(now);
         self.calls.subscription_began();
         self.mark_lines_uncertain();
     }
 
-    fn joined(&mut self, proxy: usize, usual: f64) {
+    fn proxy_joined(&mut self, proxy: usize, usual: f64) {
         self.proxies[proxy] = true;
-        self.steward.joined(proxy, usual);
+        self.steward.proxy_joined(proxy, usual);
         if let Some(snapshot) = self.subscription.snapshot() {
             snapshot.proxies.insert(proxy);
         }
@@ -99,14 +99,14 @@
 
     fn left(&mut self, now: Time, proxy: usize) {
         self.proxies[proxy] = false;
-        self.steward.stream_down(now, proxy);
+        self.steward.proxy_disconnected(now, proxy);
         if let Some(snapshot) = self.subscription.snapshot() {
             snapshot.proxies.remove(&proxy);
         }
     }
 
     fn acknowledged(&mut self, now: Time, proxy: usize, number: u16) {
-        self.steward.installed(now, proxy, number);
+        self.steward.mark_answered(now, proxy, number);
         if let Some(call) = self.calls.mark_acknowledged(number) {
             self.call_confirmed(call);
         }
@@ -123,7 +123,7 @@
             // Part of the snapshot: it is compared with the known state once that is complete. The store may have
             // unassigned the slice and assigned it again, in the gap or just now.
             if first && known {
-                self.steward.may_be_given_anew(now, slice);
+                self.steward.may_be_reassigned(now, slice);
                 return;
             }
         }
@@ -136,31 +136,31 @@
     fn assign(&mut self, now: Time, slice: usize, reported: Time) {
         let known = &mut self.slices[slice];
         known.assign();
-        self.steward.given(now, slice);
-        self.steward.awaits_line(slice, true);
+        self.steward.slice_assigned(now, slice);
+        self.steward.set_line_pending(slice, true);
         match known.crossing(reported) {
             Crossing::None => {}
-            Crossing::Levels => self.steward.levels_unclear(slice),
-            Crossing::Line => self.line_unclear(slice),
+            Crossing::Levels => self.steward.levels_unknown(slice),
+            Crossing::Line => self.line_unknown(slice),
         }
     }
 
     /// Records that the store assigned a slice with an unknown line to this steward.
     fn assign_unclear(&mut self, now: Time, slice: usize) {
         self.assign(now, slice, Time::MAX / 2);
-        self.line_unclear(slice);
+        self.line_unknown(slice);
     }
 
-    fn line_unclear(&mut self, slice: usize) {
+    fn line_unknown(&mut self, slice: usize) {
         self.slices[slice].assignment = Assignment::LineUnclear;
-        self.steward.line_unclear(slice);
+        self.steward.line_unknown(slice);
     }
 
     fn unassign(&mut self, slice: usize) {
         let known = &mut self.slices[slice];
         if known.is_assigned() {
             (known.assignment, known.line) = (Assignment::Unassigned, None);
-            self.steward.taken(slice);
+            self.steward.slice_unassigned(slice);
             self.calls.drop_slice(slice);
         }
     }
@@ -179,9 +179,9 @@
     fn settle_line(&mut self, now: Time, slice: usize, line: Line) {
         let known = &mut self.slices[slice];
         (known.assignment, known.line) = (Assignment::Assigned, line);
-        self.steward.awaits_line(slice, false);
+        self.steward.set_line_pending(slice, false);
         if let Some((server, weight)) = line {
-            self.steward.on_record(now, slice, server, weight);
+            self.steward.line_recorded(now, slice, server, weight);
         }
     }
 
@@ -217,7 +217,7 @@
         for slice in 0..self.slices.len() {
             self.slices[slice].heartbeat(ends_snapshot);
             if self.slices[slice].assignment == Assignment::AwaitingLine {
-                self.steward.awaits_line(slice, false);
+                self.steward.set_line_pending(slice, false);
             }
         }
     }
@@ -229,7 +229,7 @@
                 self.left(snapshot.began, proxy);
             }
         }
-        self.steward.joined_told(snapshot.began);
+        self.steward.joined_proxies_received(snapshot.began);
         let mut pending = vec![false; self.slices.len()];
         self.calls.pending().filter_map(line_of).for_each(|(slice, _)| pending[slice] = true);
         // Another steward can have granted and revoked a slice meanwhile only if the gap is at least as long as a
--- a/crates/platform/src/session/orders.rs
+++ b/crates/platform/src/session/orders.rs
@@ -1,6 +1,6 @@
 //! Encodes the decisions' orders for the store.
 
-use ravenspar_steward::{Order, Steward, Time, WHOLE};
+use ravenspar_steward::{Order, Steward, Time, FULL_WEIGHT};
 use serde_json::{json, Value};
 
 use super::Session;
@@ -17,7 +17,7 @@
             match order {
                 Order::Remind { at } => self.wake_at = Some(at),
                 // The list is always watched, so this needs no order.
-                Order::Watch => {}
+                Order::SubscribeList => {}
                 order => {
                     let text = self.text(&order);
                     orders.push((order, text));
@@ -31,10 +31,10 @@
     pub(super) fn text(&self, order: &Order) -> String {
         let order = match order {
             Order::SetLine { slice, server } => {
-                json!({"verb": "share", "cluster": slice, "target": self.servers.id(*server), "rps": WHOLE})
+                json!({"verb": "share", "cluster": slice, "target": self.servers.id(*server), "rps": FULL_WEIGHT})
             }
             Order::DropLines { slice } => json!({"verb": "clear", "cluster": slice}),
-            Order::Level { slice, kinds, share } => {
+            Order::SetLevel { slice, kinds, share } => {
                 let named = self.names.classes.iter().enumerate().filter(|(k, _)| kinds & (1 << k) != 0);
                 let routes: Vec<&String> = named.map(|(_, name)| name).collect();
                 let mut level = json!({"verb": "admit", "admit": share, "policy": 0, "routes": routes});
@@ -47,8 +47,8 @@
                 let verb = if *out { "withdraw" } else { "restore" };
                 json!({"verb": verb, "target": self.servers.id(*server)})
             }
-            Order::Stamp { number } => json!({"verb": "mark", "nonce_out": number, "flag": 1}),
-            Order::Watch | Order::Remind { .. } => Value::Null,
+            Order::Mark { number } => json!({"verb": "mark", "nonce_out": number, "flag": 1}),
+            Order::SubscribeList | Order::Remind { .. } => Value::Null,
         };
         order.to_string()
     }
--- a/crates/platform/src/session/reports.rs
+++ b/crates/platform/src/session/reports.rs
@@ -30,7 +30,7 @@
                 }
                 let took = fields::duration(report, "mean")?;
                 fields::duration(report, "over")?;
-                self.steward.traffic(now, server, count, failed, took, busy(&report["util"])?);
+                self.steward.traffic_reported(now, server, count, failed, took, busy(&report["util"])?);
             }
             "SHARD" => {
                 let slice = fields::integer(report, "range", self.slices.len())?;
@@ -40,7 +40,7 @@
                 // Failures are checked for their type only: they may have come before this report's period.
                 fields::number(report, "fail")?;
                 let (count, over) = (fields::number(report, "count")?, fields::duration(report, "over")?);
-                self.steward.demand(now, slice, kind, count, over);
+                self.steward.demand_reported(now, slice, kind, count, over);
             }
             // The total of a proxy's reqs where there are no slices; the decisions don't use it.
             "RATE" => {}
--- a/crates/platform/src/slices.rs
+++ b/crates/platform/src/slices.rs
@@ -1,6 +1,6 @@
 //! The known state of each slice: whether it is assigned to this steward, and which line the store has.
 
-use ravenspar_steward::{Order, Time, SECOND, WHOLE};
+use ravenspar_steward::{Order, Time, FULL_WEIGHT, SECOND};
 
 use crate::calls::slice_of;
 use crate::subscription::SliceSnapshot;
@@ -194,7 +194,7 @@
 /// Returns the slice and its resulting line for an order that sets or drops a line.
 pub fn line_of(order: &Order) -> Option<(usize, Line)> {
     let line = match *order {
-        Order::SetLine { server, .. } => Some((server, WHOLE)),
+        Order::SetLine { server, .. } => Some((server, FULL_WEIGHT)),
         Order::DropLines { .. } => None,
         _ => return None,
     };
--- a/crates/ravenspar/src/core.rs
+++ b/crates/ravenspar/src/core.rs
@@ -4,7 +4,7 @@
 use ravenspar_host::Output;
 use ravenspar_notes::kind;
 use ravenspar_record::SliceRow;
-use ravenspar_steward::{Scope, Time};
+use ravenspar_steward::{ListScope, Time};
 
 use crate::failpoint::{Halt, Point};
 use crate::fleet::{Fleet, FleetEvent};
@@ -193,7 +193,7 @@
                 self.stats.list_failed = false;
                 // Recorded before any slice goes to a server that only this list names.
                 self.process.embedded.write(RecordUpdate::List(rows.clone()));
-                self.host.list_begin(Scope::Whole);
+                self.host.list_begin(ListScope::Complete);
                 for row in &rows {
                     self.host.list_entry(
                         &row.id,
@@ -203,7 +203,7 @@
                         row.boot,
                     );
                 }
-                self.host.list_end(Scope::Whole);
+                self.host.list_end(ListScope::Complete);
                 self.process.last_list = rows;
                 self.send_hint(kind::LIST, 0);
             }
--- a/crates/ravenspar/src/process.rs
+++ b/crates/ravenspar/src/process.rs
@@ -5,7 +5,7 @@
 use ravenspar_net::Clock;
 use ravenspar_record::ServerRow;
 use ravenspar_sharing::counted::StewardCount;
-use ravenspar_steward::Live;
+use ravenspar_steward::LiveNumber;
 use tokio::net::TcpListener;
 use tokio::signal::unix::Signal;
 use tokio::sync::mpsc;
@@ -42,7 +42,7 @@
     /// The view of the fleet, if one is configured.
     pub fleet: Option<Fleet>,
     /// The number of stewards that decisions divide by, where the view provides it.
-    pub counted: Option<(StewardCount, Live)>,
+    pub counted: Option<(StewardCount, LiveNumber)>,
     /// The last list received.
     pub last_list: Vec<ServerRow>,
 }
--- a/crates/ravenspar/src/serve.rs
+++ b/crates/ravenspar/src/serve.rs
@@ -6,7 +6,7 @@
 use ravenspar_host::{Host, Server};
 use ravenspar_record::{Record, ServerRow, SliceRow};
 use ravenspar_sharing::counted::StewardCount;
-use ravenspar_steward::{Health, Live, Time};
+use ravenspar_steward::{Health, LiveNumber, Time};
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::mpsc;
 
@@ -90,7 +90,7 @@
     };
     let counted = cfg.fleet.as_ref().and(cfg.share.as_ref()).map(|_| {
         let planned = cfg.map.number("balancers").unwrap_or(1.0);
-        let live = Live::new(planned);
+        let live = LiveNumber::new(planned);
         cfg.map.set_live("balancers", live.clone());
         (StewardCount::new(planned as usize), live)
     });
--- a/crates/steward/src/lib.rs
+++ b/crates/steward/src/lib.rs
@@ -18,7 +18,7 @@
 pub const SECOND: Time = 10_000;
 
 /// The weight of every line that a grant sets. Proxies treat a line with a lower weight as read-only.
-pub const WHOLE: f64 = 1.0;
+pub const FULL_WEIGHT: f64 = 1.0;
 
 /// Converts seconds, the unit of settings and messages, to a [`Time`].
 pub fn from_seconds(seconds: f64) -> Time {
@@ -36,13 +36,13 @@
 
 /// The extent of a server list that is handed in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum ListScope {
     /// Only the changed entries.
     Changes,
     /// The complete list.
-    Whole,
+    Complete,
     /// The complete list as it was stored before a restart; newer servers may be missing.
-    Kept,
+    Stored,
 }
 
 /// An action for the host to carry out. Servers and slices are indices.
@@ -53,20 +53,20 @@
     /// Revokes a slice from its server.
     DropLines { slice: usize },
     /// Sets the admitted share of the request kinds in the `kinds` bit mask, for all slices if `slice` is `None`.
-    Level { slice: Option<usize>, kinds: u32, share: f64 },
+    SetLevel { slice: Option<usize>, kinds: u32, share: f64 },
     /// Takes a server out of the proxies' tables (`out`) or puts it back.
     Withdraw { server: usize, out: bool },
     /// Asks every joined proxy to answer with this number: the mark at the end of an update.
-    Stamp { number: u16 },
+    Mark { number: u16 },
     /// Subscribes to changes of the server list.
-    Watch,
+    SubscribeList,
     /// Requests a call of [`Steward::reminder`] at this time.
     Remind { at: Time },
 }
 
 /// Estimate of the lines that wait in the channel to the proxies.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Waiting {
+pub struct WaitingLines {
     /// Number of lines, summed over all proxies.
     pub lines: f64,
     /// Time at which the oldest of them was written.
@@ -75,7 +75,7 @@
 
 /// Permission to send orders again whose outcome is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Repeat {
+pub struct Resend {
     /// Number of orders that may be sent, including the mark.
     pub orders: usize,
     /// The mark to end them with; answers to earlier messages carry a different one.
@@ -84,15 +84,15 @@
 
 /// The settings of a deployment: values by name, and the numbers that may change while a steward runs.
 #[derive(Clone, Debug, Default)]
-pub struct Settings(HashMap<String, String>, Vec<(String, Live)>);
+pub struct Settings(HashMap<String, String>, Vec<(String, LiveNumber)>);
 
 /// A number shared by all clones, so that a setting can change between two updates.
 #[derive(Clone, Debug, Default)]
-pub struct Live(Arc<AtomicU64>);
+pub struct LiveNumber(Arc<AtomicU64>);
 
-impl Live {
-    pub fn new(number: f64) -> Live {
-        Live(Arc::new(AtomicU64::new(number.to_bits())))
+impl LiveNumber {
+    pub fn new(number: f64) -> LiveNumber {
+        LiveNumber(Arc::new(AtomicU64::new(number.to_bits())))
     }
 
     pub fn set(&self, number: f64) {
@@ -110,7 +110,7 @@
     }
 
     /// Makes a setting a number that may change at run time. It takes precedence over a fixed value.
-    pub fn set_live(&mut self, name: &str, live: Live) {
+    pub fn set_live(&mut self, name: &str, live: LiveNumber) {
         self.1.retain(|(known, _)| known != name);
         self.1.push((name.to_owned(), live));
     }
--- a/crates/steward/src/rebalance.rs
+++ b/crates/steward/src/rebalance.rs
@@ -183,7 +183,7 @@
             self.pending_orders.push_back(Order::Remind { at: self.next_wake });
         }
         if !self.list_subscribed && now >= self.next_subscribe_at {
-            self.pending_orders.push_back(Order::Watch);
+            self.pending_orders.push_back(Order::SubscribeList);
             // Requested again if there is no answer by then.
             self.next_subscribe_at = now + self.cfg.time("safety.ask_within_s").unwrap_or(10 * SECOND);
         }
@@ -246,7 +246,7 @@
         if !orders.is_empty() || !restrict && self.is_mark_due(ordinary) {
             self.mark = mark;
             self.urgent_update = false;
-            orders.push(Order::Stamp { number: (mark % 65_536) as u16 });
+            orders.push(Order::Mark { number: (mark % 65_536) as u16 });
             self.record_update(now, self.message_overhead() + orders.len() as f64);
         }
         orders
@@ -324,12 +324,12 @@
             self.levels_written_at = now;
             // One line covers all kinds with the same share.
             let same = orders[first..].iter_mut().find_map(|order| match order {
-                Order::Level { kinds, share: ordered, .. } if *ordered == share => Some(kinds),
+                Order::SetLevel { kinds, share: ordered, .. } if *ordered == share => Some(kinds),
                 _ => None,
             });
             match same {
                 Some(kinds) => *kinds |= 1 << kind,
-                None => orders.push(Order::Level { slice: Some(slice), kinds: 1 << kind, share }),
+                None => orders.push(Order::SetLevel { slice: Some(slice), kinds: 1 << kind, share }),
             }
         }
     }
--- a/crates/steward/src/rebalance/channel.rs
+++ b/crates/steward/src/rebalance/channel.rs
@@ -10,7 +10,7 @@
 
 use super::state::{Proxy, State};
 use super::Steward;
-use crate::{Repeat, Time, Waiting, SECOND};
+use crate::{Resend, Time, WaitingLines, SECOND};
 
 /// An update in the channel budget: its time, the lines it wrote to each proxy, and its mark.
 pub(super) struct Update {
@@ -59,16 +59,16 @@
 
 impl Steward {
     /// Returns an estimate of the lines that wait in the channel.
-    pub fn waiting(&self) -> Waiting {
+    pub fn waiting(&self) -> WaitingLines {
         let updates =
             self.updates.iter().map(|update| (update.at, update.lines * self.pending_proxies(update.mark)));
         let waiting = updates.filter(|(_, lines)| *lines > 0.0);
-        let all = waiting.fold(Waiting::default(), |sum, (at, lines)| Waiting {
+        let all = waiting.fold(WaitingLines::default(), |sum, (at, lines)| WaitingLines {
             lines: sum.lines + lines,
             since: Some(sum.since.map_or(at, |since| since.min(at))),
         });
         if self.notifications_interrupted || self.missed_answers.is_some() {
-            Waiting { lines: all.lines.min(self.max_waiting_lines()), ..all }
+            WaitingLines { lines: all.lines.min(self.max_waiting_lines()), ..all }
         } else {
             all
         }
@@ -119,7 +119,7 @@
     }
 
     /// A proxy has answered a mark.
-    pub fn installed(&mut self, now: Time, proxy: usize, number: u16) {
+    pub fn mark_answered(&mut self, now: Time, proxy: usize, number: u16) {
         self.decision_due = true;
         let mark = self.latest_mark(number);
         let entry = self.proxy(proxy);
@@ -146,12 +146,12 @@
     }
 
     /// The store's notifications are interrupted: answers and joins of proxies are not received.
-    pub fn news_interrupted(&mut self) {
+    pub fn notifications_interrupted(&mut self) {
         self.notifications_interrupted = true;
     }
 
     /// The store's notifications have resumed: answers are received from now on.
-    pub fn news_resumed(&mut self, now: Time) {
+    pub fn notifications_resumed(&mut self, now: Time) {
         (self.evidence.at, self.evidence.idle_since) = (now, now);
         self.missed_answers = Some(MissedAnswers { mark: self.mark, idle_since: now });
     }
@@ -163,14 +163,14 @@
 
     /// After an interruption, the store has reported which proxies were joined at this time. Any other proxy, even one known
     /// to be disconnected before, may have joined and left until then unnoticed: its lease runs from then at the latest.
-    pub fn joined_told(&mut self, at: Time) {
+    pub fn joined_proxies_received(&mut self, at: Time) {
         self.notifications_interrupted = false;
         let away = self.proxies.iter_mut().filter(|proxy| !proxy.joined);
         away.for_each(|proxy| proxy.disconnected_at = proxy.disconnected_at.max(at));
     }
 
     /// A notification of the store was received, so all answers up to now have been received too.
-    pub fn news_heard(&mut self, now: Time) {
+    pub fn notification_received(&mut self, now: Time) {
         let had_gap = now - self.evidence.at >= MAX_NOTIFICATION_GAP;
         self.evidence.at = now;
         if had_gap {
@@ -227,7 +227,7 @@
     }
 
     /// Takes the last update out of the budget: its orders wait behind others that are re-sent, and count when written.
-    pub fn uncount_last(&mut self) {
+    pub fn uncount_last_update(&mut self) {
         self.updates.pop_back();
     }
 
@@ -238,12 +238,12 @@
     }
 
     /// The revoke of a slice was carried out under this mark, even if it was written again since: answers to it count.
-    pub fn revoke_proven(&mut self, slice: usize, number: u16) {
+    pub fn revoke_confirmed(&mut self, slice: usize, number: u16) {
         self.await_mark(slice, self.latest_mark(number));
     }
 
     /// The revoke of a slice will be written after the last message: no answer received so far counts for it.
-    pub fn revoke_waits(&mut self, slice: usize) {
+    pub fn revoke_deferred(&mut self, slice: usize) {
         const NOT_WRITTEN: u64 = u64::MAX;
         self.await_mark(slice, NOT_WRITTEN);
     }
@@ -261,7 +261,7 @@
     /// those that waited behind them. Counts them if so: all, or a part of them if that is a probe or a substantial part of
     /// what an empty channel takes. Returns `None` if there is no capacity. This keeps the proxies' limits even if the store
     /// carries out orders without answering.
-    pub fn repeat(&mut self, now: Time, orders: usize) -> Option<Repeat> {
+    pub fn resend(&mut self, now: Time, orders: usize) -> Option<Resend> {
         let probe_due = self.is_probe_due();
         let capacity = self.available_lines(now, orders).0;
         let fits = orders.min(capacity);
@@ -273,7 +273,7 @@
         }
         self.mark += 1;
         self.record_update(now, self.message_overhead() + fits as f64);
-        Some(Repeat { orders: fits, number: (self.mark % 65_536) as u16 })
+        Some(Resend { orders: fits, number: (self.mark % 65_536) as u16 })
     }
 
     /// Records an update under the current mark. It goes to every joined proxy, and to any whose joining is not yet known.
--- a/crates/steward/src/rebalance/inputs.rs
+++ b/crates/steward/src/rebalance/inputs.rs
@@ -2,7 +2,7 @@
 
 use super::state::{push_bounded, Demand, Server, Slice, State, TryReport, MAX_KINDS, UNKNOWN_LEVEL};
 use super::{Steward, BUSY_UTILIZATION, LATE_SHARE};
-use crate::{Health, Scope, Time, SECOND, WHOLE};
+use crate::{Health, ListScope, Time, FULL_WEIGHT, SECOND};
 
 /// Traffic reports kept per server: a few seconds of them from every zone.
 const TRAFFIC_SAMPLES: usize = 32;
@@ -17,10 +17,10 @@
 
 impl Steward {
     /// Starts a server list. Its entries follow with `list_entry`, and `list_end` closes it.
-    pub fn list_begin(&mut self, scope: Scope) {
+    pub fn list_begin(&mut self, scope: ListScope) {
         self.decision_due = true;
         // A server absent from a complete list is gone; the others are marked as listed again by their entries.
-        if scope != Scope::Changes {
+        if scope != ListScope::Changes {
             self.servers.iter_mut().for_each(|server| server.listed = false);
         }
     }
@@ -42,8 +42,8 @@
     }
 
     /// Closes a list and handles the servers that are not in it.
-    pub fn list_end(&mut self, scope: Scope) {
-        if scope == Scope::Kept {
+    pub fn list_end(&mut self, scope: ListScope) {
+        if scope == ListScope::Stored {
             return; // servers may have been added since
         }
         self.list_subscribed = true;
@@ -74,7 +74,7 @@
     }
 
     /// A proxy has joined. `baseline_rate` is the reqs per second that it usually gets, 0 if unknown.
-    pub fn joined(&mut self, proxy: usize, baseline_rate: f64) {
+    pub fn proxy_joined(&mut self, proxy: usize, baseline_rate: f64) {
         self.decision_due = true;
         let (mark, cleared_mark) = (self.mark, self.evidence.answered_mark);
         let entry = self.proxy(proxy);
@@ -88,14 +88,14 @@
     }
 
     /// The stream of a proxy broke at this time.
-    pub fn stream_down(&mut self, now: Time, proxy: usize) {
+    pub fn proxy_disconnected(&mut self, now: Time, proxy: usize) {
         self.decision_due = true;
         let entry = self.proxy(proxy);
         (entry.joined, entry.disconnected_at) = (false, now);
     }
 
     /// A slice was assigned to this steward.
-    pub fn given(&mut self, now: Time, slice: usize) {
+    pub fn slice_assigned(&mut self, now: Time, slice: usize) {
         self.decision_due = true;
         // Without a line it was being moved by a previous steward: wait one lease, then let it settle.
         let until = now + self.time("family_info.write_lease_s") + self.time("family_info.settle_s");
@@ -107,7 +107,7 @@
 
     /// Sets whether the line of a newly assigned slice may still arrive. The slice is not granted until its line is
     /// received or known not to exist.
-    pub fn awaits_line(&mut self, slice: usize, awaits: bool) {
+    pub fn set_line_pending(&mut self, slice: usize, awaits: bool) {
         self.decision_due = true;
         if let Some(entry) = self.slices.get_mut(slice) {
             entry.line_pending = awaits;
@@ -116,7 +116,7 @@
 
     /// It is unknown whether an order of this steward for a newly assigned slice was carried out before or after the
     /// assignment, and so which line is current: the slice is revoked, as from an owner that is gone.
-    pub fn line_unclear(&mut self, slice: usize) {
+    pub fn line_unknown(&mut self, slice: usize) {
         self.decision_due = true;
         if let Some(entry) = self.slices.get_mut(slice) {
             (entry.state, entry.line_pending) = (State::LineUnknown, false);
@@ -134,7 +134,7 @@
     }
 
     /// The store may have reset the levels of a slice: they are all ordered again.
-    pub fn levels_unclear(&mut self, slice: usize) {
+    pub fn levels_unknown(&mut self, slice: usize) {
         self.decision_due = true;
         if let Some(entry) = self.slices.get_mut(slice) {
             entry.levels = [UNKNOWN_LEVEL; MAX_KINDS];
@@ -143,7 +143,7 @@
 
     /// The store may have unassigned a slice and assigned it again unchanged. Proxies may then use their former tables for
     /// one lease from now, and the levels may be reset: those that keep requests out are ordered again.
-    pub fn may_be_given_anew(&mut self, now: Time, slice: usize) {
+    pub fn may_be_reassigned(&mut self, now: Time, slice: usize) {
         self.decision_due = true;
         let Some(entry) = self.slices.get_mut(slice) else { return };
         entry.assigned_at = now;
@@ -152,10 +152,10 @@
     }
 
     /// The store has this line for a newly assigned slice.
-    pub fn on_record(&mut self, now: Time, slice: usize, server: usize, weight: f64) {
+    pub fn line_recorded(&mut self, now: Time, slice: usize, server: usize, weight: f64) {
         self.decision_due = true;
         // A line below full weight was granted for reads only while the slice settled: it gives no ownership.
-        let is_whole = weight >= WHOLE;
+        let is_whole = weight >= FULL_WEIGHT;
         let entry = self.server(server);
         (entry.initial_slices, entry.last_recorded_at) = (entry.initial_slices + usize::from(is_whole), now);
         if !entry.seen {
@@ -168,7 +168,7 @@
     }
 
     /// A slice is no longer assigned to this steward.
-    pub fn taken(&mut self, slice: usize) {
+    pub fn slice_unassigned(&mut self, slice: usize) {
         self.decision_due = true;
         if let Some(entry) = self.slices.get_mut(slice) {
             let owner = entry.owner();
@@ -180,7 +180,7 @@
     }
 
     /// A report of tries at a server: their number, how many failed, the mean response time and the CPU utilization.
-    pub fn traffic(
+    pub fn traffic_reported(
         &mut self,
         now: Time,
         server: usize,
@@ -209,7 +209,7 @@
     }
 
     /// A report of the requests of one kind for a slice, counted over `window`.
-    pub fn demand(&mut self, now: Time, slice: usize, kind: usize, count: f64, window: Time) {
+    pub fn demand_reported(&mut self, now: Time, slice: usize, kind: usize, count: f64, window: Time) {
         (self.decision_due, self.rates_outdated) = (true, true);
         if let Some(entry) = self.slices.get_mut(slice) {
             push_bounded(&mut entry.demand, Demand { at: now, kind, count, window }, DEMAND_SAMPLES);
--- a/crates/steward/src/rebalance/tests/admission.rs
+++ b/crates/steward/src/rebalance/tests/admission.rs
@@ -11,10 +11,10 @@
             (SECOND, 10.0, 2 * SECOND);
         steward.updates = (1..=written).map(|mark| Update { at: 2 * SECOND, lines: 0.0, mark }).collect();
         steward.mark = written;
-        steward.given(2 * SECOND, 0);
-        steward.on_record(2 * SECOND, 0, 0, 1.0);
-        steward.demand(2 * SECOND, 0, 0, 40.0, SECOND);
-        let is_level = |order: &Order| matches!(order, Order::Level { .. });
+        steward.slice_assigned(2 * SECOND, 0);
+        steward.line_recorded(2 * SECOND, 0, 0, 1.0);
+        steward.demand_reported(2 * SECOND, 0, 0, 40.0, SECOND);
+        let is_level = |order: &Order| matches!(order, Order::SetLevel { .. });
         let mut times = (0..200).map(|tenth| 2 * SECOND + tenth * SECOND / 10);
         let written_at = times.find(|&at| orders(&mut steward, at).iter().any(is_level));
         let after = written_at.expect("a level while it is cold") - 2 * SECOND;
@@ -27,12 +27,12 @@
 #[test]
 fn levels_below_one_are_ordered_again_if_the_store_may_have_reset_them() {
     let mut steward = steward(2, 2, 1);
-    (0..2).for_each(|slice| steward.demand(3 * SECOND, slice, 0, 10.0, SECOND));
+    (0..2).for_each(|slice| steward.demand_reported(3 * SECOND, slice, 0, 10.0, SECOND));
     (steward.servers[0].level, steward.last_tick_at) = (0.5, 3 * SECOND);
-    let level = |slice: usize| Order::Level { slice: Some(slice), kinds: 1, share: 0.5 };
-    assert_eq!(orders(&mut steward, 3 * SECOND), [level(0), level(1), Order::Stamp { number: 1 }]);
-    steward.may_be_given_anew(4 * SECOND, 1);
-    assert_eq!(orders(&mut steward, 4 * SECOND), [level(1), Order::Stamp { number: 2 }]);
+    let level = |slice: usize| Order::SetLevel { slice: Some(slice), kinds: 1, share: 0.5 };
+    assert_eq!(orders(&mut steward, 3 * SECOND), [level(0), level(1), Order::Mark { number: 1 }]);
+    steward.may_be_reassigned(4 * SECOND, 1);
+    assert_eq!(orders(&mut steward, 4 * SECOND), [level(1), Order::Mark { number: 2 }]);
 }
 
 #[test]
@@ -51,7 +51,7 @@
 fn a_cold_server_gets_requests_within_its_budget() {
     let mut steward = steward(1, 1, 1);
     (steward.servers[0].boot, steward.peak_completed_rate) = (1, 10.0);
-    steward.demand(0, 0, 0, 40.0, SECOND);
+    steward.demand_reported(0, 0, 0, 40.0, SECOND);
     // 0.25 x 2.5 x 0.2 x 10 per second of the 40 that arrive.
     assert!((budget_level(&mut steward, 1) - 0.03125).abs() < 1e-6);
     assert_eq!(budget_level(&mut steward, 11 * SECOND), 1.0);
@@ -61,17 +61,17 @@
 fn requests_held_by_proxies_are_denied_at_a_grant_to_a_cold_server_over_its_budget() {
     let mut steward = steward(1, 1, 1);
     (steward.servers[0].boot, steward.peak_completed_rate) = (1, 10.0);
-    steward.demand(0, 0, 0, 2.0, SECOND);
+    steward.demand_reported(0, 0, 0, 2.0, SECOND);
     settle(&mut steward, 0);
-    assert_eq!(orders(&mut steward, 1)[1], Order::Level { slice: Some(0), kinds: 3, share: 0.0 });
-    assert_eq!(orders(&mut steward, SECOND)[0], Order::Level { slice: Some(0), kinds: 1, share: 0.6 });
+    assert_eq!(orders(&mut steward, 1)[1], Order::SetLevel { slice: Some(0), kinds: 3, share: 0.0 });
+    assert_eq!(orders(&mut steward, SECOND)[0], Order::SetLevel { slice: Some(0), kinds: 1, share: 0.6 });
 }
 
 #[test]
 fn the_level_of_an_overloaded_cold_server_falls_between_ticks() {
     let mut steward = steward(1, 1, 1);
     (steward.servers[0].boot, steward.peak_completed_rate, steward.last_tick_at) = (1, 1000.0, SECOND);
-    steward.demand(SECOND, 0, 0, 10.0, SECOND);
+    steward.demand_reported(SECOND, 0, 0, 10.0, SECOND);
     steward.servers[0].try_reports = try_reports(SECOND, 10.0, 9.0, 3 * SECOND, Some(1.0));
     steward.rates_outdated = true;
     steward.update_totals(SECOND);
@@ -82,7 +82,7 @@
 #[test]
 fn a_steward_without_reports_uses_the_baseline_rate() {
     let mut steward = steward(4, 2, 2);
-    (0..2).for_each(|proxy| steward.joined(proxy, 20.0));
+    (0..2).for_each(|proxy| steward.proxy_joined(proxy, 20.0));
     steward.rates_outdated = true;
     steward.update_totals(0);
     assert_eq!(steward.slice_rate(0), 10.0);
@@ -94,13 +94,13 @@
 #[test]
 fn a_steward_that_has_just_started_ignores_low_rates_for_cold_servers() {
     let mut steward = steward(4, 2, 2);
-    steward.joined(0, 20.0);
-    steward.demand(0, 0, 0, 1.0, SECOND);
+    steward.proxy_joined(0, 20.0);
+    steward.demand_reported(0, 0, 0, 1.0, SECOND);
     steward.servers[0].boot = 1;
     steward.rates_outdated = true;
     steward.update_totals(0);
     assert_eq!((steward.rate_at_server(0, 0), steward.rate_at_server(1, 0)), (10.0, 1.0));
-    steward.demand(SECOND * 9, 0, 0, 1.0, SECOND);
+    steward.demand_reported(SECOND * 9, 0, 0, 1.0, SECOND);
     steward.rates_outdated = true;
     steward.update_totals(SECOND * 9);
     assert_eq!(steward.rate_at_server(0, 0), 1.0);
@@ -128,8 +128,8 @@
 #[test]
 fn a_level_admits_the_highest_credit_first() {
     let mut steward = steward(1, 1, 1);
-    steward.demand(0, 0, 0, 10.0, SECOND);
-    steward.demand(0, 0, 1, 10.0, SECOND);
+    steward.demand_reported(0, 0, 0, 10.0, SECOND);
+    steward.demand_reported(0, 0, 1, 10.0, SECOND);
     steward.servers[0].level = 0.75;
     steward.rates_outdated = true;
     steward.update_totals(SECOND);
@@ -142,7 +142,7 @@
 fn levels_alone_wait_for_a_tick_unless_they_open_a_kind_or_protect_a_cold_server() {
     let level = |levels: f64, boot: Time| {
         let mut steward = steward(1, 1, 1);
-        steward.demand(SECOND, 0, 0, 10.0, SECOND);
+        steward.demand_reported(SECOND, 0, 0, 10.0, SECOND);
         (steward.servers[0].level, steward.servers[0].boot) = (0.5, boot);
         steward.slices[0].levels[0] = levels;
         (steward.levels_written_at, steward.last_tick_at) = (SECOND, SECOND);
@@ -152,7 +152,7 @@
     assert_eq!(level(0.0, 0), 2, "a closed kind opens at once");
     assert_eq!(level(1.0, 1), 2, "a cold server is protected at once");
     let mut steward = steward(1, 1, 1);
-    steward.demand(2 * SECOND, 0, 0, 10.0, SECOND);
+    steward.demand_reported(2 * SECOND, 0, 0, 10.0, SECOND);
     steward.servers[0].level = 0.25;
     steward.levels_written_at = SECOND;
     assert_eq!(orders(&mut steward, 3 * SECOND).len(), 2, "a tick later");
--- a/crates/steward/src/rebalance/tests/channel.rs
+++ b/crates/steward/src/rebalance/tests/channel.rs
@@ -16,7 +16,7 @@
     steward.proxies.iter_mut().for_each(|proxy| proxy.written_mark = 1);
     assert_eq!(steward.available_lines(5 * SECOND, 1).0, 0);
     // One answer frees that proxy's lines only: 54 per proxy, less header and mark.
-    steward.installed(SECOND, 0, 1);
+    steward.mark_answered(SECOND, 0, 1);
     assert_eq!(steward.available_lines(5 * SECOND, 1).0, 43);
 }
 
@@ -32,7 +32,7 @@
     steward.proxies.iter_mut().for_each(|proxy| proxy.written_mark = 1);
     assert_eq!(waiting(&mut steward, 3 * SECOND), 3_000.0, "answers are expected");
     // 3000 lines per second as configured, 600 at the slowest.
-    steward.news_interrupted();
+    steward.notifications_interrupted();
     assert_eq!(waiting(&mut steward, 3 * SECOND), 1_800.0);
     assert_eq!(waiting(&mut steward, 7 * SECOND), 0.0);
     steward.updates.push_back(Update { at: 7 * SECOND, lines: 60.0, mark: 2 });
@@ -51,9 +51,9 @@
     steward.updates = VecDeque::from([Update { at: now, lines, mark: 1 }]);
     steward.mark = 1;
     steward.proxies.iter_mut().for_each(|proxy| proxy.written_mark = 1);
-    steward.news_interrupted();
-    steward.news_resumed(now);
-    steward.joined_told(now);
+    steward.notifications_interrupted();
+    steward.notifications_resumed(now);
+    steward.joined_proxies_received(now);
     steward
 }
 
@@ -63,10 +63,10 @@
     let mut steward = resumed_after_a_gap(tenths(0), 595.0);
     // 600 lines per proxy may wait; a header and the mark are 11.
     assert_eq!(orders(&mut steward, tenths(0)), [], "it would exceed the limit");
-    assert_eq!(orders(&mut steward, tenths(3)), [Order::Stamp { number: 2 }], "18 have left by now");
+    assert_eq!(orders(&mut steward, tenths(3)), [Order::Mark { number: 2 }], "18 have left by now");
     assert_eq!(orders(&mut steward, tenths(9)), [], "one probe is enough");
     assert_eq!(steward.available_lines(tenths(9), 1).0, 0);
-    steward.installed(tenths(10), 3, 2);
+    steward.mark_answered(tenths(10), 3, 2);
     assert!(
         steward.available_lines(tenths(10), 1).0 > 0,
         "nothing earlier waits after an answer from any proxy"
@@ -84,7 +84,7 @@
         steward.available_lines(now, 1);
         steward.waiting().lines
     };
-    steward.installed(4 * SECOND, 0, 3);
+    steward.mark_answered(4 * SECOND, 0, 3);
     steward.outcome_unknown(4 * SECOND);
     // Updates before the answered one don't count. 600 lines per second at the slowest.
     assert_eq!(waiting(&mut steward, 4 * SECOND), 3_000.0);
@@ -142,68 +142,68 @@
 fn a_proxy_reported_again_gets_a_new_mark_and_its_waiting_lines_still_count() {
     let mut steward = steward(2, 2, 1);
     list(&mut steward, 0, Health::Draining, 0);
-    assert_eq!(orders(&mut steward, 1).last(), Some(&Order::Stamp { number: 1 }));
+    assert_eq!(orders(&mut steward, 1).last(), Some(&Order::Mark { number: 1 }));
     let before = steward.available_lines(SECOND, 1);
-    steward.joined(0, 0.0);
+    steward.proxy_joined(0, 0.0);
     assert_eq!(steward.available_lines(SECOND, 1), before);
-    assert_eq!(orders(&mut steward, 2 * SECOND), [Order::Stamp { number: 2 }]);
+    assert_eq!(orders(&mut steward, 2 * SECOND), [Order::Mark { number: 2 }]);
     // It may have rejoined before or after the last message was written: lines that may wait for it still count, until
     // another proxy answers a later mark or the channel is idle.
     let full = steward.available_lines(3 * SECOND, 1);
-    steward.stream_down(2 * SECOND, 0);
-    steward.joined(0, 0.0);
+    steward.proxy_disconnected(2 * SECOND, 0);
+    steward.proxy_joined(0, 0.0);
     assert_eq!(steward.available_lines(3 * SECOND, 1), full);
-    steward.news_heard(2 * SECOND);
+    steward.notification_received(2 * SECOND);
     assert_eq!(steward.available_lines(3 * SECOND, 1), full);
-    steward.news_heard(3 * SECOND);
-    steward.news_heard(4 * SECOND);
+    steward.notification_received(3 * SECOND);
+    steward.notification_received(4 * SECOND);
     assert!(steward.available_lines(4 * SECOND, 1).0 > before.0);
 }
 
 #[test]
 fn a_disconnected_proxy_counts_as_a_receiver_until_another_answers() {
     let mut steward = steward(2, 2, 2);
-    steward.stream_down(1, 1);
+    steward.proxy_disconnected(1, 1);
     let empty = steward.available_lines(1, 1).0;
     list(&mut steward, 0, Health::Draining, 0);
     let written = orders(&mut steward, 1).len();
     // It may have joined before the message was written; its joining would be reported before any answer to the message.
     assert_eq!(steward.pending_proxies(1), 2.0);
-    steward.installed(2, 0, 1);
+    steward.mark_answered(2, 0, 1);
     assert_eq!(steward.pending_proxies(1), 0.0);
     assert_eq!(steward.available_lines(SECOND, 1).0, empty, "{written} lines have left the channel");
     // A joining reported after the answer was after the message; if reported before, the proxy may have received it.
-    steward.joined(1, 0.0);
+    steward.proxy_joined(1, 0.0);
     assert_eq!(steward.pending_proxies(1), 0.0);
 }
 
 #[test]
 fn a_proxy_reported_between_a_message_and_its_first_answer_counts_as_a_receiver() {
     let mut steward = steward(2, 2, 2);
-    steward.stream_down(1, 1);
+    steward.proxy_disconnected(1, 1);
     list(&mut steward, 0, Health::Draining, 0);
     orders(&mut steward, 1);
-    steward.joined(1, 0.0);
-    steward.installed(2, 0, 1);
+    steward.proxy_joined(1, 0.0);
+    steward.mark_answered(2, 0, 1);
     assert_eq!(steward.pending_proxies(1), 1.0);
     // Any proxy's answer to a later mark clears it: messages leave the channel in order.
     steward.decision_due = true;
     steward.slices[0].state = State::HandingOff { mark: 2, awaited_proxies: vec![0, 1] };
     steward.record_update(SECOND, 1.0);
     steward.mark = 2;
-    steward.installed(2 * SECOND, 0, 2);
+    steward.mark_answered(2 * SECOND, 0, 2);
     assert_eq!(steward.pending_proxies(1), 0.0);
 }
 
 #[test]
 fn a_gap_in_the_notifications_is_no_idle_channel() {
     let mut steward = steward(2, 2, 2);
-    steward.stream_down(1, 1);
+    steward.proxy_disconnected(1, 1);
     list(&mut steward, 0, Health::Draining, 0);
     orders(&mut steward, 1);
-    steward.news_heard(30 * SECOND);
+    steward.notification_received(30 * SECOND);
     assert_eq!(steward.pending_proxies(1), 2.0, "answers may still arrive");
-    (31..35).for_each(|second| steward.news_heard(second * SECOND));
+    (31..35).for_each(|second| steward.notification_received(second * SECOND));
     assert_eq!(steward.pending_proxies(1), 1.0, "the joined proxy has yet to answer");
 }
 
@@ -212,9 +212,9 @@
     let mut steward = steward(2, 2, 1);
     let resent = (0..40)
         .filter(|&quarter_seconds| {
-            steward.repeat(1 + quarter_seconds * SECOND / 4, 3).is_some_and(|resend| resend.orders == 3)
+            steward.resend(1 + quarter_seconds * SECOND / 4, 3).is_some_and(|resend| resend.orders == 3)
         })
         .count();
     assert_eq!(resent, 12);
-    assert_eq!(steward.repeat(20 * SECOND, 3).map(|resend| resend.orders), Some(3));
+    assert_eq!(steward.resend(20 * SECOND, 3).map(|resend| resend.orders), Some(3));
 }
--- a/crates/steward/src/rebalance/tests/handoff.rs
+++ b/crates/steward/src/rebalance/tests/handoff.rs
@@ -6,10 +6,10 @@
 fn a_hand_over_waits_for_every_answer() {
     let mut steward = steward(1, 2, 2);
     hand_off(&mut steward, &[0, 1]);
-    steward.installed(SECOND, 0, 1);
+    steward.mark_answered(SECOND, 0, 1);
     steward.settle_handoffs(SECOND);
     assert!(handing_off(&steward.slices[0]));
-    steward.installed(SECOND, 1, 1);
+    steward.mark_answered(SECOND, 1, 1);
     steward.settle_handoffs(SECOND);
     assert_eq!(steward.slices[0].state, State::Settling { until: SECOND + SETTLE });
 }
@@ -26,8 +26,8 @@
 fn the_lease_of_a_disconnected_proxy_runs_from_the_disconnect() {
     let mut steward = steward(1, 2, 2);
     hand_off(&mut steward, &[0, 1]);
-    steward.installed(1, 1, 1);
-    steward.stream_down(SECOND, 0);
+    steward.mark_answered(1, 1, 1);
+    steward.proxy_disconnected(SECOND, 0);
     steward.settle_handoffs(SECOND + LEASE - 1);
     assert!(handing_off(&steward.slices[0]));
     steward.settle_handoffs(SECOND + LEASE);
@@ -38,18 +38,18 @@
 fn a_hand_over_without_any_answer_waits_although_no_proxy_is_joined() {
     let mut steward = steward(1, 2, 2);
     hand_off(&mut steward, &[0, 1]);
-    (0..2).for_each(|proxy| steward.stream_down(1, proxy));
+    (0..2).for_each(|proxy| steward.proxy_disconnected(1, proxy));
     steward.settle_handoffs(100 * LEASE);
     assert!(
         handing_off(&steward.slices[0]),
         "one may have rejoined unnoticed before the revoke was carried out"
     );
     // A proxy that joins gets a new mark, and its answer shows which proxies were there.
-    steward.joined(0, 0.0);
-    assert_eq!(orders(&mut steward, 100 * LEASE), [Order::Stamp { number: 2 }]);
+    steward.proxy_joined(0, 0.0);
+    assert_eq!(orders(&mut steward, 100 * LEASE), [Order::Mark { number: 2 }]);
     steward.settle_handoffs(101 * LEASE);
     assert!(handing_off(&steward.slices[0]));
-    steward.installed(102 * LEASE, 0, 2);
+    steward.mark_answered(102 * LEASE, 0, 2);
     steward.settle_handoffs(102 * LEASE);
     assert!(settling(&steward.slices[0]));
 }
@@ -59,7 +59,7 @@
     let mut steward = steward(1, 2, 1);
     steward.proxy(1);
     hand_off(&mut steward, &[0, 1]);
-    steward.installed(1, 0, 1);
+    steward.mark_answered(1, 0, 1);
     steward.slices[0].assigned_at = SECOND;
     steward.settle_handoffs(SECOND + LEASE - 1);
     assert!(handing_off(&steward.slices[0]));
@@ -73,9 +73,9 @@
     hand_off(&mut steward, &[0]);
     steward.proxies[0].asked_mark = 1;
     assert_eq!(orders(&mut steward, 1), []);
-    steward.stream_down(2, 0);
-    steward.joined(0, 0.0);
-    assert_eq!(orders(&mut steward, 3 * SECOND), [Order::Stamp { number: 2 }]);
+    steward.proxy_disconnected(2, 0);
+    steward.proxy_joined(0, 0.0);
+    assert_eq!(orders(&mut steward, 3 * SECOND), [Order::Mark { number: 2 }]);
 }
 
 #[test]
@@ -91,9 +91,9 @@
 fn no_answer_counts_for_a_revoke_that_is_not_written_yet() {
     let mut steward = steward(1, 2, 1);
     list(&mut steward, 0, Health::Draining, 0);
-    assert_eq!(orders(&mut steward, SECOND), [Order::DropLines { slice: 0 }, Order::Stamp { number: 1 }]);
-    steward.revoke_waits(0);
-    steward.installed(2 * SECOND, 0, 1);
+    assert_eq!(orders(&mut steward, SECOND), [Order::DropLines { slice: 0 }, Order::Mark { number: 1 }]);
+    steward.revoke_deferred(0);
+    steward.mark_answered(2 * SECOND, 0, 1);
     steward.settle_handoffs(2 * SECOND);
     assert!(handing_off(&steward.slices[0]), "the mark of another part was answered");
     steward.revoke_written(0);
@@ -105,7 +105,7 @@
 fn a_slice_unassigned_during_a_hand_over_gets_no_orders() {
     let mut steward = steward(1, 2, 1);
     hand_off(&mut steward, &[0]);
-    steward.taken(0);
-    steward.installed(SECOND, 0, 1);
+    steward.slice_unassigned(0);
+    steward.mark_answered(SECOND, 0, 1);
     assert_eq!(orders(&mut steward, 9 * LEASE), []);
 }
--- a/crates/steward/src/rebalance/tests/inputs.rs
+++ b/crates/steward/src/rebalance/tests/inputs.rs
@@ -19,7 +19,7 @@
 fn the_slices_of_a_draining_owner_are_revoked_at_once_under_a_mark() {
     let mut steward = steward(2, 2, 2);
     list(&mut steward, 0, Health::Draining, 0);
-    let drops = [Order::DropLines { slice: 0 }, Order::DropLines { slice: 1 }, Order::Stamp { number: 1 }];
+    let drops = [Order::DropLines { slice: 0 }, Order::DropLines { slice: 1 }, Order::Mark { number: 1 }];
     assert_eq!(orders(&mut steward, 1), drops);
     assert!(steward.slices.iter().all(handing_off));
 }
@@ -34,19 +34,19 @@
 #[test]
 fn a_server_missing_from_a_complete_list_is_gone() {
     let mut steward = steward(1, 2, 1);
-    steward.list_begin(Scope::Whole);
+    steward.list_begin(ListScope::Complete);
     steward.list_entry(1, Health::Ready, 0);
-    steward.list_end(Scope::Whole);
+    steward.list_end(ListScope::Complete);
     assert_eq!(orders(&mut steward, 1)[0], Order::DropLines { slice: 0 });
 }
 
 #[test]
 fn a_server_named_only_by_a_record_keeps_its_slices_until_it_is_missing_from_a_list() {
     let mut steward = steward(1, 2, 1);
-    steward.on_record(0, 0, 9, 1.0);
-    steward.list_end(Scope::Kept);
+    steward.line_recorded(0, 0, 9, 1.0);
+    steward.list_end(ListScope::Stored);
     assert_eq!(steward.slices_to_move(1).0, []);
-    steward.list_end(Scope::Changes);
+    steward.list_end(ListScope::Changes);
     assert_eq!(steward.slices_to_move(1).0, [0]);
 }
 
@@ -69,7 +69,7 @@
     steward.cfg.set("discovery", "on_request");
     steward.list_failed(SECOND);
     assert_eq!(orders(&mut steward, SECOND), []);
-    assert_eq!(orders(&mut steward, 2 * SECOND), [Order::Watch]);
+    assert_eq!(orders(&mut steward, 2 * SECOND), [Order::SubscribeList]);
 }
 
 #[test]
--- a/crates/steward/src/rebalance/tests/mod.rs
+++ b/crates/steward/src/rebalance/tests/mod.rs
@@ -10,7 +10,7 @@
 
 use super::state::*;
 use super::*;
-use crate::Scope;
+use crate::ListScope;
 
 const LEASE: Time = 4 * SECOND;
 const SETTLE: Time = 5 * SECOND;
@@ -38,22 +38,22 @@
     cfg.set("family_info.ranges", &slices.to_string());
     cfg.set("family_info.proxy_count", &proxies.to_string());
     let mut steward = Steward::new(0, 7, cfg).expect("all required settings are set");
-    steward.list_begin(Scope::Whole);
+    steward.list_begin(ListScope::Complete);
     (0..servers).for_each(|server| steward.list_entry(server, Health::Ready, 0));
-    steward.list_end(Scope::Whole);
-    (0..proxies).for_each(|proxy| steward.joined(proxy, 0.0));
+    steward.list_end(ListScope::Complete);
+    (0..proxies).for_each(|proxy| steward.proxy_joined(proxy, 0.0));
     for slice in 0..slices {
-        steward.given(0, slice);
-        steward.on_record(0, slice, 0, 1.0);
+        steward.slice_assigned(0, slice);
+        steward.line_recorded(0, slice, 0, 1.0);
     }
     steward
 }
 
 /// Hands in a change of one server.
 fn list(steward: &mut Steward, server: usize, health: Health, boot: Time) {
-    steward.list_begin(Scope::Changes);
+    steward.list_begin(ListScope::Changes);
     steward.list_entry(server, health, boot);
-    steward.list_end(Scope::Changes);
+    steward.list_end(ListScope::Changes);
 }
 
 /// Returns all orders at a time except reminders.
--- a/crates/steward/src/rebalance/tests/placement.rs
+++ b/crates/steward/src/rebalance/tests/placement.rs
@@ -5,7 +5,7 @@
 #[test]
 fn an_overloaded_server_loses_a_slice_that_another_has_capacity_for() {
     let mut steward = steward(3, 2, 1);
-    (0..3).for_each(|s| steward.demand(SECOND, s, 0, 2.0 + s as f64, SECOND));
+    (0..3).for_each(|s| steward.demand_reported(SECOND, s, 0, 2.0 + s as f64, SECOND));
     steward.servers[0].try_reports = try_reports(SECOND, 10.0, 5.0, 3 * SECOND, Some(1.0));
     steward.servers[0].capacity = 1.0;
     steward.servers[1].capacity = 5.5;
--- a/crates/steward/src/rebalance/tests/suspicion.rs
+++ b/crates/steward/src/rebalance/tests/suspicion.rs
@@ -22,9 +22,11 @@
         steward.cfg.set("balancers", stewards);
         steward.cfg.set("limits.idle_close_s", "15");
         steward.cfg.set("family_info.conns_least", accepted);
-        (1..=20).for_each(|second| steward.traffic(second * SECOND, 0, 20.0, 0.0, SECOND / 10, Some(0.2)));
+        (1..=20).for_each(|second| {
+            steward.traffic_reported(second * SECOND, 0, 20.0, 0.0, SECOND / 10, Some(0.2))
+        });
         let now = 24 * SECOND;
-        (0..4).for_each(|_| steward.traffic(now, 0, 25.0, failed, SECOND / 10, Some(0.2)));
+        (0..4).for_each(|_| steward.traffic_reported(now, 0, 25.0, failed, SECOND / 10, Some(0.2)));
         steward.update_suspicion(now);
         (!steward.is_trusted(0, now), steward.servers[0].degraded)
     };
@@ -47,7 +49,7 @@
     steward.update_suspicion(SECOND);
     assert!(steward.servers[0].degraded && steward.is_trusted(0, SECOND));
     assert!(steward.strain(0, SECOND).is_some_and(|strain| strain < 1.0));
-    (0..3).for_each(|s| steward.demand(SECOND, s, 0, 2.0, SECOND));
+    (0..3).for_each(|s| steward.demand_reported(SECOND, s, 0, 2.0, SECOND));
     (steward.rates_outdated, steward.servers[1].capacity) = (true, 100.0);
     steward.update_totals(SECOND);
     assert_eq!(steward.slices_to_rebalance(SECOND).len(), 1);
