--- a/crates/platform-net/src/listener/peer.rs
+++ b/crates/platform-net/src/listener/peer.rs
@@ -4,7 +4,7 @@
 
 use bytes::{Bytes, BytesMut};
 use futures_util::{SinkExt, StreamExt};
-use ravenspar_platform::{codec, decode, Message, MOST_FRAME, MOST_GREETING, NACK, PONG};
+use ravenspar_platform::{codec, decode, Message, MAX_FRAME, MAX_GREETING, NACK, PONG};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::{sleep, sleep_until, timeout_at, Instant};
@@ -52,13 +52,13 @@
     /// A peer of which nothing is known, until `ending`.
     pub fn new(socket: TcpStream, ending: CancellationToken) -> Peer {
         let _ = socket.set_nodelay(true);
-        let framed = Framed::new(Retrying::new(socket), codec(MOST_GREETING));
+        let framed = Framed::new(Retrying::new(socket), codec(MAX_GREETING));
         Peer { framed, ending, answer: ANSWER, close_by: Some(Instant::now() + GREETING + ANSWER) }
     }
 
     /// It is a collector from here on, and its messages may be long.
     pub fn is_collector(&mut self) {
-        self.framed.codec_mut().set_max_frame_length(MOST_FRAME);
+        self.framed.codec_mut().set_max_frame_length(MAX_FRAME);
         self.answer = COLLECTORS_ANSWER;
         self.close_by = None;
     }
--- a/crates/platform-net/src/relay.rs
+++ b/crates/platform-net/src/relay.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use futures_util::{FutureExt, SinkExt, StreamExt};
-use ravenspar_platform::{Addresses, Call, SECOND, SILENCE, SUBSCRIBE};
+use ravenspar_platform::{Addresses, Call, NOTIFICATION_TIMEOUT, SECOND, SUBSCRIBE};
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
 use tokio::time::{timeout, Instant};
@@ -26,7 +26,7 @@
 const IDLE: Duration = Duration::from_secs(3);
 
 /// News come with a sign of life every second. Two missed and some: the connection is dead.
-const SILENT: Duration = Duration::from_millis(1_000 * SILENCE as u64 / SECOND as u64);
+const SILENT: Duration = Duration::from_millis(1_000 * NOTIFICATION_TIMEOUT as u64 / SECOND as u64);
 
 /// Between two subscriptions that failed.
 const PAUSE: Duration = Duration::from_millis(100);
@@ -77,10 +77,10 @@
     events: mpsc::Sender<Event>,
 ) {
     let mut line: Option<Line> = None;
-    while let Some(Call { line: text, anew, .. }) = calls.recv().await {
+    while let Some(Call { line: text, reconnect, .. }) = calls.recv().await {
         let at = addresses.borrow().relay;
         let left = |line: &mut Line| line.at != at || line.used.elapsed() >= IDLE || !line.usable();
-        if anew || line.as_mut().is_some_and(left) {
+        if reconnect || line.as_mut().is_some_and(left) {
             line = None;
         }
         if line.is_none() {
--- a/crates/platform-net/src/serve.rs
+++ b/crates/platform-net/src/serve.rs
@@ -196,7 +196,7 @@
             }
             Event::News(number, line) => {
                 tracing::trace!(%line, "news");
-                if let Err(fault) = self.session.handle_news(now, line.as_bytes()) {
+                if let Err(fault) = self.session.handle_notification(now, line.as_bytes()) {
                     tracing::warn!(subscription = number, %fault, line = %line.chars().take(200).collect::<String>(), "news that can't be used");
                     self.spoilt_news.send_replace(number);
                 }
@@ -204,7 +204,7 @@
             }
             Event::NewsLost(number, why) => {
                 tracing::info!(subscription = number, %why, "the relay's news have broken off");
-                self.session.handle_news_lost(now);
+                self.session.handle_subscription_lost(now);
             }
             Event::Answer(line) => {
                 tracing::trace!(%line, "answer");
@@ -227,11 +227,11 @@
 
     /// Logs the moment from which all that stands is told.
     fn log_told(&mut self, now: Time, subscription: u64) {
-        if !self.session.is_told() || self.told == subscription {
+        if !self.session.is_live() || self.told == subscription {
             return;
         }
         self.told = subscription;
-        let of = self.session.figures();
+        let of = self.session.metrics();
         let held_ms = of.held.map_or(0, |held| in_ms(now - held.since));
         tracing::info!(
             subscription,
@@ -249,13 +249,13 @@
 
     /// The same of what is decided already.
     fn poll_last(&mut self) -> Instant {
-        self.carry_out(Session::poll_last)
+        self.carry_out(Session::poll_queued)
     }
 
     fn carry_out(&mut self, next: fn(&mut Session, Time) -> Option<Call>) -> Instant {
         let now = self.clock.now();
         while let Some(call) = next(&mut self.session, now) {
-            tracing::trace!(call = call.id, anew = call.anew, line = %call.line, "call");
+            tracing::trace!(call = call.id, anew = call.reconnect, line = %call.line, "call");
             self.call = call.id;
             // Room for one, and one at a time.
             if self.calls.try_send(call).is_err() {
@@ -264,7 +264,7 @@
             }
         }
         if let Some(owed) = self.session.overdue(now) {
-            let held = self.session.figures().held;
+            let held = self.session.metrics().held;
             tracing::warn!(
                 slices = owed.slices,
                 oldest_ms = in_ms(owed.oldest),
@@ -279,7 +279,7 @@
     }
 
     fn status(&mut self) {
-        let (now, of) = (self.clock.now(), self.session.figures());
+        let (now, of) = (self.clock.now(), self.session.metrics());
         let age = |at: Option<Time>| at.map_or(-1, |at| in_ms(now - at));
         let owed = self.session.owed(now);
         let longest = self.session.take_longest_hold();
@@ -290,8 +290,8 @@
             hosts = of.hosts,
             hosts_known = of.hosts_known,
             list_version = of.list_version.unwrap_or(0),
-            list_age_ms = age(of.list_heard),
-            news_age_ms = age(of.news_heard),
+            list_age_ms = age(of.last_list),
+            news_age_ms = age(of.last_notification),
             spoilt = of.spoilt,
             last_spoilt = self.spoilt.take().unwrap_or_default(),
             calls_lost = of.lost,
--- a/crates/platform/src/frames.rs
+++ b/crates/platform/src/frames.rs
@@ -6,11 +6,11 @@
 use crate::fields::{self, DecodeError};
 
 /// The longest frame accepted from a peer that has joined.
-pub const MOST_FRAME: usize = 1 << 20;
+pub const MAX_FRAME: usize = 1 << 20;
 
 /// The longest frame accepted from a peer that has not joined: enough for a PING, or a SOURCE with a long name.
 /// Limits the memory that hundreds of unidentified peers can hold with half-sent frames.
-pub const MOST_GREETING: usize = 1_024;
+pub const MAX_GREETING: usize = 1_024;
 
 /// The answer to a PING.
 pub const PONG: &[u8] = br#"{"msg":"PONG"}"#;
--- a/crates/platform/src/frames/tests.rs
+++ b/crates/platform/src/frames/tests.rs
@@ -11,7 +11,7 @@
 fn frames_are_decoded_from_any_split_of_their_bytes() {
     let all = [framed(PONG), framed(b""), framed(NACK)].concat();
     for piece in [1, 3, 17, all.len()] {
-        let (mut codec, mut buffer, mut out) = (codec(MOST_GREETING), BytesMut::new(), Vec::new());
+        let (mut codec, mut buffer, mut out) = (codec(MAX_GREETING), BytesMut::new(), Vec::new());
         for bytes in all.chunks(piece) {
             buffer.put_slice(bytes);
             while let Some(frame) = codec.decode(&mut buffer).expect("valid frames") {
@@ -26,10 +26,10 @@
 fn invalid_lengths_and_http_are_errors() {
     for bytes in [&b"\xff\xff\xff\xff"[..], b"GET / HTTP/1.1\r\n", b"\x01\x04\x00\x00"] {
         let mut buffer = BytesMut::from(bytes);
-        assert!(codec(MOST_GREETING).decode(&mut buffer).is_err(), "{bytes:?}");
+        assert!(codec(MAX_GREETING).decode(&mut buffer).is_err(), "{bytes:?}");
     }
-    assert!(codec(MOST_FRAME).decode(&mut BytesMut::from(&[0, 0, 16, 0][..])).is_ok());
-    assert!(codec(MOST_FRAME).decode(&mut BytesMut::from(&[1, 0, 16, 0][..])).is_err());
+    assert!(codec(MAX_FRAME).decode(&mut BytesMut::from(&[0, 0, 16, 0][..])).is_ok());
+    assert!(codec(MAX_FRAME).decode(&mut BytesMut::from(&[1, 0, 16, 0][..])).is_err());
 }
 
 #[test]
--- a/crates/platform/src/hold.rs
+++ b/crates/platform/src/hold.rs
@@ -12,7 +12,7 @@
     /// A call is not settled.
     Call,
     /// No notification has been received since the last call was answered, or for
-    /// [`crate::SILENCE`].
+    /// [`crate::NOTIFICATION_TIMEOUT`].
     NothingHeard,
 }
 
--- a/crates/platform/src/session.rs
+++ b/crates/platform/src/session.rs
@@ -23,7 +23,7 @@
 use crate::subscription::Subscription;
 
 /// A subscription without any notification for this long is dropped; heartbeats come once a second.
-pub const SILENCE: Time = 22 * SECOND / 10;
+pub const NOTIFICATION_TIMEOUT: Time = 22 * SECOND / 10;
 
 /// A call to write to the store.
 #[derive(Debug, PartialEq)]
@@ -32,7 +32,7 @@
     pub id: u64,
     pub line: String,
     /// The previous connection is unusable: open a new one.
-    pub anew: bool,
+    pub reconnect: bool,
 }
 
 /// Metrics for operators.
@@ -44,8 +44,8 @@
     pub hosts: usize,
     pub hosts_known: usize,
     pub list_version: Option<u64>,
-    pub list_heard: Option<Time>,
-    pub news_heard: Option<Time>,
+    pub last_list: Option<Time>,
+    pub last_notification: Option<Time>,
     /// Totals since the start: unusable messages, lost calls, refused orders.
     pub spoilt: u64,
     pub lost: u64,
@@ -67,7 +67,7 @@
     settle: Time,
     calls: Calls,
     /// The connection for calls is unusable.
-    anew: bool,
+    reconnect: bool,
     /// When the decisions asked to be reminded.
     wake_at: Option<Time>,
     /// When to retry restrictions that were due and not yet sent.
@@ -84,7 +84,7 @@
     line_pending_since: Option<Time>,
     /// Since when every received list was older than the current one.
     outdated_lists_since: Option<Time>,
-    figures: Metrics,
+    metrics: Metrics,
     holds: HoldClock,
     drains: Drains,
 }
@@ -118,7 +118,7 @@
             slices: vec![Slice::default(); slices],
             settle,
             calls: Calls::default(),
-            anew: false,
+            reconnect: false,
             wake_at: None,
             retry_at: None,
             subscription: Subscription::Lost { since: now },
@@ -126,7 +126,7 @@
             last_live_notification: None,
             line_pending_since: None,
             outdated_lists_since: None,
-            figures: Metrics::default(),
+            metrics: Metrics::default(),
             holds: HoldClock::default(),
             drains: Drains::new(slices, grace),
         })
@@ -138,7 +138,7 @@
     }
 
     /// Returns the current metrics.
-    pub fn figures(&self) -> Metrics {
+    pub fn metrics(&self) -> Metrics {
         Metrics {
             joined: self.proxies.iter().filter(|joined| **joined).count(),
             slices: self.slices.iter().filter(|slice| slice.is_assigned()).count(),
@@ -147,12 +147,12 @@
             hosts_known: self.servers.known_count(),
             held: self.holds.current(),
             waiting: self.steward.waiting(),
-            ..self.figures.clone()
+            ..self.metrics.clone()
         }
     }
 
     /// Returns true if there is a subscription and its snapshot is complete.
-    pub fn is_told(&self) -> bool {
+    pub fn is_live(&self) -> bool {
         self.subscription.is_live()
     }
 
@@ -186,7 +186,7 @@
         if whole && !complete {
             return Err("field reset: expected true, as the whole list was asked for".to_owned());
         }
-        if self.figures.list_version.is_some_and(|held| version < held) {
+        if self.metrics.list_version.is_some_and(|held| version < held) {
             let since = *self.outdated_lists_since.get_or_insert(now);
             if !complete || now - since < DISCOVERY_DELAY {
                 return Err(format!("version {version} is older than the one held"));
@@ -200,7 +200,7 @@
                 .map_err(|error| error.to_string())?;
         }
         self.outdated_lists_since = None;
-        (self.figures.list_version, self.figures.list_heard) = (Some(version), Some(now));
+        (self.metrics.list_version, self.metrics.last_list) = (Some(version), Some(now));
         Ok(version)
     }
 
@@ -208,11 +208,11 @@
     pub fn handle_answer(&mut self, now: Time, line: &[u8]) {
         match self.calls.answered(now, line) {
             AnswerOutcome::Unreadable => self.handle_call_lost(now, true),
-            AnswerOutcome::Rejected => self.anew = true,
+            AnswerOutcome::Rejected => self.reconnect = true,
             AnswerOutcome::Applied(done, refused) => {
                 self.orders_applied(done);
                 let Some(order) = refused else { return };
-                self.figures.refused += 1;
+                self.metrics.refused += 1;
                 // A refused grant or revoke must not be taken for an applied one.
                 if let Some((slice, _)) =
                     line_of(&order).filter(|(slice, _)| self.slices[*slice].is_assigned())
@@ -247,13 +247,13 @@
         match self.calls.lost(now, written) {
             LostCall::None => {}
             LostCall::Applied(call) => {
-                self.anew = true;
+                self.reconnect = true;
                 self.call_confirmed(call);
             }
             LostCall::OutcomeUnknown => {
-                self.anew = true;
+                self.reconnect = true;
                 if written {
-                    self.figures.lost += 1;
+                    self.metrics.lost += 1;
                     self.steward.outcome_unknown(now);
                 }
             }
@@ -275,7 +275,7 @@
             Some(_) => self.restrict(now),
         }
         self.drains.observe(now, self.steward.owed());
-        self.poll_last(now)
+        self.poll_queued(now)
     }
 
     /// Returns what decisions are waiting for, or `None` if they may be made.
@@ -294,7 +294,7 @@
     /// Returns true if the subscription has timed out. A process that was suspended may notice that late:
     /// notifications that it missed may be unread.
     fn is_silent(&self, now: Time) -> bool {
-        self.last_live_notification.is_some_and(|last| now - last >= SILENCE)
+        self.last_live_notification.is_some_and(|last| now - last >= NOTIFICATION_TIMEOUT)
     }
 
     /// Sends restrictive orders while decisions are on hold, unless the hold is very short.
@@ -325,7 +325,7 @@
 
     /// Returns the next call for orders that were already decided, and decides nothing new. Used alone for a steward
     /// that is shutting down.
-    pub fn poll_last(&mut self, now: Time) -> Option<Call> {
+    pub fn poll_queued(&mut self, now: Time) -> Option<Call> {
         let is_live = self.subscription.is_live();
         if self.calls.next_timeout(is_live).is_none_or(|at| now < at) || !self.calls.prepare(is_live) {
             return None;
@@ -349,7 +349,7 @@
                 self.slices[slice].order_written(now, order);
             }
         }
-        Some(Call { id, line, anew: std::mem::take(&mut self.anew) })
+        Some(Call { id, line, reconnect: std::mem::take(&mut self.reconnect) })
     }
 
     /// Returns true if all orders are known to be applied.
--- a/crates/platform/src/session/notifications.rs
+++ b/crates/platform/src/session/notifications.rs
@@ -16,7 +16,7 @@
 
 impl Session {
     /// Handles a notification of the store. On an error it has no effect, and the caller must subscribe again.
-    pub fn handle_news(&mut self, now: Time, message: &[u8]) -> Result<(), DecodeError> {
+    pub fn handle_notification(&mut self, now: Time, message: &[u8]) -> Result<(), DecodeError> {
         let sizes = Sizes { proxies: self.proxies.len(), slices: self.slices.len() };
         let notification = Notification::read(message, sizes)?;
         if !matches!(notification, Notification::Heartbeat | Notification::Subscribed)
@@ -41,7 +41,7 @@
             }
             Notification::Other => {}
         }
-        self.figures.news_heard = Some(now);
+        self.metrics.last_notification = Some(now);
         self.awaiting_notification = false;
         if self.subscription.is_live() {
             self.last_live_notification = Some(now);
@@ -60,7 +60,7 @@
     }
 
     /// Handles the loss of the subscription: the last known state is kept until the next snapshot.
-    pub fn handle_news_lost(&mut self, now: Time) {
+    pub fn handle_subscription_lost(&mut self, now: Time) {
         let since = match self.subscription {
             Subscription::Lost { since } => since,
             _ => now,
@@ -78,7 +78,7 @@
 
     fn subscribed(&mut self, now: Time) {
         if !matches!(self.subscription, Subscription::Lost { .. }) {
-            self.handle_news_lost(now);
+            self.handle_subscription_lost(now);
         }
         let Subscription::Lost { since: earliest } = self.subscription else { return };
         let snapshot =
--- a/crates/platform/src/session/reports.rs
+++ b/crates/platform/src/session/reports.rs
@@ -10,7 +10,7 @@
     /// Applies a collector's report. An unusable one is counted and dropped.
     pub fn handle_report(&mut self, now: Time, report: &Value) -> Result<(), DecodeError> {
         let done = self.report(now, report);
-        self.figures.spoilt += u64::from(done.is_err());
+        self.metrics.spoilt += u64::from(done.is_err());
         done
     }
 
--- a/crates/platform/src/session/tests.rs
+++ b/crates/platform/src/session/tests.rs
@@ -77,12 +77,14 @@
 
     fn notify(&mut self, method: &str, params: Value) {
         let line = json!({"jsonrpc": "2.0", "method": method, "params": params});
-        self.session.handle_news(self.now, line.to_string().as_bytes()).expect("a valid notification");
+        self.session
+            .handle_notification(self.now, line.to_string().as_bytes())
+            .expect("a valid notification");
     }
 
     fn begin_subscription(&mut self) {
         let result = br#"{"jsonrpc":"2.0","id":1,"result":true}"#;
-        self.session.handle_news(self.now, result).expect("a subscription");
+        self.session.handle_notification(self.now, result).expect("a subscription");
     }
 
     fn assign(&mut self, slice: usize, owner: Option<&str>) {
@@ -111,7 +113,7 @@
 
     fn lose_subscription(&mut self) {
         self.live = false;
-        self.session.handle_news_lost(self.now);
+        self.session.handle_subscription_lost(self.now);
     }
 
     fn change_hosts(&mut self, version: u64, hosts: &[Value]) {
--- a/crates/platform/src/session/tests/calls.rs
+++ b/crates/platform/src/session/tests/calls.rs
@@ -72,7 +72,7 @@
     assert_eq!(verbs(&rest), ["mark"]);
     assert_ne!(mark(&rest), mark(&grant), "a new message");
     harness.answer(rest.len());
-    assert_eq!(harness.session.figures().refused, 1);
+    assert_eq!(harness.session.metrics().refused, 1);
     assert_eq!(grants(&harness.run(12 * SECOND))[0], "B", "granted again, after a lease");
 }
 
@@ -304,7 +304,7 @@
     assert_eq!(first.len(), 15);
     harness.session.handle_call_lost(harness.now, true);
     // Each retry is lost as well; 41 orders with the mark.
-    while harness.session.figures().unsettled < 41 {
+    while harness.session.metrics().unsettled < 41 {
         harness.advance(SECOND / 10);
         if let Some(retry) = harness.poll() {
             assert!(retry.len() <= 15, "{} lines", retry.len());
--- a/crates/platform/src/session/tests/gaps.rs
+++ b/crates/platform/src/session/tests/gaps.rs
@@ -28,10 +28,10 @@
     harness.assign(0, Some("A"));
     harness.assign(1, Some("B"));
     harness.assign(3, None);
-    assert_eq!(harness.session.figures().joined, 3, "until the snapshot is complete");
+    assert_eq!(harness.session.metrics().joined, 3, "until the snapshot is complete");
     harness.notify("ping", json!({}));
-    let figures = harness.session.figures();
-    assert_eq!((figures.joined, figures.slices), (1, 3));
+    let metrics = harness.session.metrics();
+    assert_eq!((metrics.joined, metrics.slices), (1, 3));
     harness.change_hosts(2, &[host("A", "leaving", 0)]);
     let revoke = harness.poll().expect("a revoke for the drain");
     assert_eq!(revoke[0], json!({"verb": "clear", "cluster": 0}));
@@ -311,7 +311,7 @@
     harness.join(0);
     harness.advance(6 * SECOND);
     let ack = json!({"jsonrpc": "2.0", "method": "ACK", "params": {"id": 0, "seq": 1, "ms": 1.0}});
-    assert!(harness.session.handle_news(harness.now, ack.to_string().as_bytes()).is_err());
+    assert!(harness.session.handle_notification(harness.now, ack.to_string().as_bytes()).is_err());
     harness.notify("ping", json!({}));
-    assert!(harness.session.handle_news(harness.now, ack.to_string().as_bytes()).is_ok());
+    assert!(harness.session.handle_notification(harness.now, ack.to_string().as_bytes()).is_ok());
 }
--- a/crates/platform/src/session/tests/lists.rs
+++ b/crates/platform/src/session/tests/lists.rs
@@ -82,15 +82,15 @@
     {
         assert!(harness.session.handle_list(harness.now, body.as_bytes(), false).is_err(), "{body}");
     }
-    let figures = harness.session.figures();
-    assert_eq!((figures.hosts, figures.list_version), (3, Some(5)));
+    let metrics = harness.session.metrics();
+    assert_eq!((metrics.hosts, metrics.list_version), (3, Some(5)));
 }
 
 #[test]
 fn an_unreadable_entry_affects_only_its_host_and_the_list_is_requested_again() {
     let mut harness = Harness::new(1, 1);
     harness.change_hosts(5, &[host("C", "active", 0)]);
-    let hosts = |harness: &Harness| (harness.session.figures().hosts, harness.session.figures().list_version);
+    let hosts = |harness: &Harness| (harness.session.metrics().hosts, harness.session.metrics().list_version);
     // B is kept as known, A is drained by this list, C is gone from it.
     let invalid = list(6, true, &[host("A", "leaving", 0), json!({"instanceId": "B", "lifecycle": "?"})]);
     assert!(harness.session.handle_list(harness.now, invalid.to_string().as_bytes(), true).is_err());
@@ -148,9 +148,9 @@
         harness.advance(SECOND / 10);
         harness.notify("ping", json!({}));
     }
-    let figures = harness.session.figures();
-    assert_eq!(figures.hosts, 5);
-    assert!(figures.hosts_known < 300, "{} are known", figures.hosts_known);
+    let metrics = harness.session.metrics();
+    assert_eq!(metrics.hosts, 5);
+    assert!(metrics.hosts_known < 300, "{} are known", metrics.hosts_known);
     assert!(harness.session.servers.index("another") < 300, "indices are reused");
     assert_eq!(harness.session.servers.find("h100"), None);
 }
--- a/crates/platform/src/session/tests/reports.rs
+++ b/crates/platform/src/session/tests/reports.rs
@@ -69,7 +69,7 @@
         invalid["util"] = util;
         assert!(harness.session.handle_report(harness.now, &invalid).is_err(), "{invalid}");
     }
-    let invalid = harness.session.figures().spoilt;
+    let invalid = harness.session.metrics().spoilt;
     assert_eq!(invalid, (8 + 6) * bad.len() as u64 - 1 + 3);
 }
 
@@ -109,8 +109,8 @@
             message["msg"] = if method % 2 == 0 { "LOAD".into() } else { message["msg"].clone() };
             let _ = harness.session.handle_report(harness.now, &message);
             let news = json!({"method": METHODS[method], "params": message});
-            let _ = harness.session.handle_news(harness.now, news.to_string().as_bytes());
-            let _ = harness.session.handle_news(harness.now, &bytes);
+            let _ = harness.session.handle_notification(harness.now, news.to_string().as_bytes());
+            let _ = harness.session.handle_notification(harness.now, &bytes);
             let _ = harness.session.handle_list(harness.now, message.to_string().as_bytes(), false);
             let _ = harness.session.handle_list(harness.now, &bytes, true);
             let _ = crate::frames::decode(&bytes, true, harness.session.zones());
--- a/crates/platform/tests/changes_of_hands/world/notifications.rs
+++ b/crates/platform/tests/changes_of_hands/world/notifications.rs
@@ -23,7 +23,7 @@
             && entry.subscription == subscription
             && std::mem::take(&mut entry.subscribed)
         {
-            entry.session.iter_mut().for_each(|session| session.handle_news_lost(now));
+            entry.session.iter_mut().for_each(|session| session.handle_subscription_lost(now));
             self.after(RESUBSCRIBE_DELAY, Event::Subscribe { steward, incarnation });
         }
     }
@@ -92,7 +92,7 @@
             return;
         }
         let Some(session) = &mut entry.session else { return };
-        let is_invalid = session.handle_news(now, line.as_bytes()).is_err();
+        let is_invalid = session.handle_notification(now, line.as_bytes()).is_err();
         if line.contains("GRANT") || line.contains("ROW") || is_invalid {
             self.trace(|| format!("n{steward} receives {line}"));
         }
--- a/crates/platform/tests/crossings/main.rs
+++ b/crates/platform/tests/crossings/main.rs
@@ -212,9 +212,9 @@
         for _ in 0..count {
             let Some(line) = self.notifications.as_mut().and_then(VecDeque::pop_front) else { break };
             // After an invalid notification the session subscribes again.
-            if self.session.handle_news(self.now, line.as_bytes()).is_err() {
+            if self.session.handle_notification(self.now, line.as_bytes()).is_err() {
                 self.notifications = None;
-                self.session.handle_news_lost(self.now);
+                self.session.handle_subscription_lost(self.now);
             }
         }
     }
@@ -281,7 +281,7 @@
             Op::Deliver(count) => self.deliver(count.into()),
             Op::LoseSubscription => {
                 self.notifications = None;
-                self.session.handle_news_lost(self.now);
+                self.session.handle_subscription_lost(self.now);
             }
             Op::Subscribe => {
                 if self.notifications.is_none() {
--- a/crates/platform/tests/liveness/main.rs
+++ b/crates/platform/tests/liveness/main.rs
@@ -87,7 +87,7 @@
         prop_assert!(world.violation.is_none(), "{:?}", world.violation);
         let late = world.now - over;
         let unserved = world.unserved();
-        prop_assert!(late <= max, "{unserved} without an owner {late} after the end: {}", world.figures());
+        prop_assert!(late <= max, "{unserved} without an owner {late} after the end: {}", world.metrics());
     }
     prop_assert_eq!(world.dropped_subscriptions, 0, "no subscription is dropped for an invalid notification");
     Ok(())
--- a/crates/platform/tests/liveness/world.rs
+++ b/crates/platform/tests/liveness/world.rs
@@ -236,9 +236,9 @@
     }
 
     /// Returns the session's metrics and the state of the channel, for failure messages.
-    pub fn figures(&self) -> String {
-        let (channel, figures) = (self.channel.len(), self.session.figures());
-        format!("{channel} messages wait, subscribed {:?}, {figures:?}", self.notifications.is_some())
+    pub fn metrics(&self) -> String {
+        let (channel, metrics) = (self.channel.len(), self.session.metrics());
+        format!("{channel} messages wait, subscribed {:?}, {metrics:?}", self.notifications.is_some())
     }
 
     pub fn all_served(&self) -> bool {
@@ -456,7 +456,7 @@
         {
             self.notifications = None;
             self.subscribe_at = self.now + RESUBSCRIBE_DELAY;
-            self.session.handle_news_lost(self.now);
+            self.session.handle_subscription_lost(self.now);
         }
         if self.now >= self.subscribe_at && !faults.contains(&Fault::SubscriptionCut) {
             (self.subscribe_at, self.last_notification) = (Time::MAX, self.now);
@@ -468,7 +468,7 @@
         }
         while let Some(line) = self.notifications.as_mut().and_then(VecDeque::pop_front) {
             self.last_notification = self.now;
-            if self.session.handle_news(self.now, line.as_bytes()).is_err() {
+            if self.session.handle_notification(self.now, line.as_bytes()).is_err() {
                 self.dropped_subscriptions += 1;
                 self.notifications = None;
             }
