--- a/crates/lab/src/fleet/play.rs
+++ b/crates/lab/src/fleet/play.rs
@@ -205,10 +205,10 @@
             let (mut shown, mut lost) = (BTreeMap::new(), BTreeMap::new());
             for member in &answer.members {
                 if member.shown {
-                    shown.insert(member.name.clone(), member.life);
+                    shown.insert(member.name.clone(), member.incarnation);
                 }
                 if member.state == State::Gone {
-                    lost.insert(member.name.clone(), member.life);
+                    lost.insert(member.name.clone(), member.incarnation);
                 }
             }
             let look = Look {
--- a/crates/notes/src/lib.rs
+++ b/crates/notes/src/lib.rs
@@ -16,16 +16,16 @@
 /// Bytes of the HMAC after the body.
 const TAG_LENGTH: usize = 32;
 /// The longest datagram, in bytes.
-pub const LENGTH: usize = 256;
+pub const MAX_DATAGRAM_LENGTH: usize = 256;
 /// The longest body, in bytes.
-pub const MAX_BODY_LENGTH: usize = LENGTH - HEADER_LENGTH - TAG_LENGTH;
+pub const MAX_BODY_LENGTH: usize = MAX_DATAGRAM_LENGTH - HEADER_LENGTH - TAG_LENGTH;
 
 /// Kinds of hints, whose body is a number (8). Unknown kinds are ignored. Kinds from 3 on are those of `ravenspar-view`.
 pub mod kind {
     /// Slices were handed over at this revision of the store, which the receiver should read.
-    pub const LOOK: u8 = 1;
+    pub const STORE_CHANGED: u8 = 1;
     /// The sender's list of servers has changed, so the receiver should read its own again.
-    pub const LIST: u8 = 2;
+    pub const SERVER_LIST_CHANGED: u8 = 2;
 }
 
 /// Why a datagram was refused.
@@ -40,7 +40,7 @@
 }
 
 /// Seals datagrams with a key, a sender number and a counter.
-pub struct Outbox {
+pub struct DatagramSealer {
     key: Vec<u8>,
     sender: Incarnation,
     counter: u64,
@@ -52,21 +52,21 @@
     Some(mac)
 }
 
-impl Outbox {
+impl DatagramSealer {
     /// The sender number must be new at each start, as the counter starts from zero.
-    pub fn new(key: &[u8], sender: Incarnation) -> Outbox {
-        Outbox { key: key.to_vec(), sender, counter: 0 }
+    pub fn new(key: &[u8], sender: Incarnation) -> DatagramSealer {
+        DatagramSealer { key: key.to_vec(), sender, counter: 0 }
     }
 
     /// Seals a hint under the next counter.
-    pub fn note(&mut self, kind: u8, number: u64) -> Vec<u8> {
+    pub fn seal_hint(&mut self, kind: u8, number: u64) -> Vec<u8> {
         self.seal(kind, &number.to_be_bytes())
     }
 
     /// Seals a body under the next counter. Receivers refuse a body that is longer than [`MAX_BODY_LENGTH`].
     pub fn seal(&mut self, kind: u8, body: &[u8]) -> Vec<u8> {
         self.counter += 1;
-        let mut datagram = Vec::with_capacity(LENGTH);
+        let mut datagram = Vec::with_capacity(MAX_DATAGRAM_LENGTH);
         datagram.push(VERSION);
         datagram.extend(self.sender.to_be_bytes());
         datagram.extend(self.counter.to_be_bytes());
@@ -116,14 +116,14 @@
 
 impl OpenedDatagram<'_> {
     /// The number of a hint, or `None` if the body is not 8 bytes long.
-    pub fn number(&self) -> Option<u64> {
+    pub fn hint_number(&self) -> Option<u64> {
         self.body.try_into().ok().map(u64::from_be_bytes)
     }
 }
 
 /// Verifies datagrams, and accepts each once. Any sender with the key is accepted. Replay windows are kept for a limited
 /// number of senders; beyond it the one idle for the longest is forgotten.
-pub struct Inbox {
+pub struct DatagramOpener {
     key: Vec<u8>,
     senders: BTreeMap<Incarnation, Window>,
     max_senders: usize,
@@ -133,10 +133,10 @@
     pub refused: u64,
 }
 
-impl Inbox {
+impl DatagramOpener {
     /// Datagrams of a forgotten sender can be replayed once more, so duplicates must do no harm.
-    pub fn new(key: &[u8], max_senders: usize) -> Inbox {
-        Inbox {
+    pub fn new(key: &[u8], max_senders: usize) -> DatagramOpener {
+        DatagramOpener {
             key: key.to_vec(),
             senders: BTreeMap::new(),
             max_senders: max_senders.max(1),
@@ -153,7 +153,9 @@
     }
 
     fn verify<'a>(&mut self, datagram: &'a [u8]) -> Result<OpenedDatagram<'a>, OpenError> {
-        if !(HEADER_LENGTH + TAG_LENGTH..=LENGTH).contains(&datagram.len()) || datagram[0] != VERSION {
+        if !(HEADER_LENGTH + TAG_LENGTH..=MAX_DATAGRAM_LENGTH).contains(&datagram.len())
+            || datagram[0] != VERSION
+        {
             return Err(OpenError::Form);
         }
         let (signed, tag) = datagram.split_at(datagram.len() - TAG_LENGTH);
@@ -185,59 +187,61 @@
 
     const KEY: &[u8] = b"a key of thirty-two bytes or more";
 
-    fn read(inbox: &mut Inbox, datagram: &[u8]) -> Result<(Incarnation, u8, u64), OpenError> {
-        inbox.open(datagram).map(|opened| (opened.sender, opened.kind, opened.number().expect("a number")))
+    fn read(opener: &mut DatagramOpener, datagram: &[u8]) -> Result<(Incarnation, u8, u64), OpenError> {
+        opener
+            .open(datagram)
+            .map(|opened| (opened.sender, opened.kind, opened.hint_number().expect("a number")))
     }
 
-    fn pair() -> (Outbox, Inbox) {
-        (Outbox::new(KEY, 7), Inbox::new(KEY, 2))
+    fn pair() -> (DatagramSealer, DatagramOpener) {
+        (DatagramSealer::new(KEY, 7), DatagramOpener::new(KEY, 2))
     }
 
     #[test]
     fn each_hint_is_accepted_once_in_any_order() {
-        let (mut outbox, mut inbox) = pair();
-        let hints: Vec<_> = (0..70).map(|number| outbox.note(kind::LOOK, number)).collect();
-        assert_eq!(read(&mut inbox, &hints[1]), Ok((7, kind::LOOK, 1)));
-        assert_eq!(read(&mut inbox, &hints[0]), Ok((7, kind::LOOK, 0)));
-        assert_eq!(read(&mut inbox, &hints[1]), Err(OpenError::Replayed));
-        assert_eq!(read(&mut inbox, &hints[69]), Ok((7, kind::LOOK, 69)));
-        assert_eq!(read(&mut inbox, &hints[2]), Err(OpenError::Replayed), "outside the replay window");
-        assert_eq!(read(&mut inbox, &hints[68]), Ok((7, kind::LOOK, 68)));
+        let (mut sealer, mut opener) = pair();
+        let hints: Vec<_> = (0..70).map(|number| sealer.seal_hint(kind::STORE_CHANGED, number)).collect();
+        assert_eq!(read(&mut opener, &hints[1]), Ok((7, kind::STORE_CHANGED, 1)));
+        assert_eq!(read(&mut opener, &hints[0]), Ok((7, kind::STORE_CHANGED, 0)));
+        assert_eq!(read(&mut opener, &hints[1]), Err(OpenError::Replayed));
+        assert_eq!(read(&mut opener, &hints[69]), Ok((7, kind::STORE_CHANGED, 69)));
+        assert_eq!(read(&mut opener, &hints[2]), Err(OpenError::Replayed), "outside the replay window");
+        assert_eq!(read(&mut opener, &hints[68]), Ok((7, kind::STORE_CHANGED, 68)));
     }
 
     #[test]
     fn any_sender_with_the_key_is_accepted_and_the_longest_idle_is_forgotten_first() {
-        let mut inbox = Inbox::new(KEY, 2);
-        let mut outboxes: Vec<_> = (1..4).map(|sender| Outbox::new(KEY, sender)).collect();
-        let first = outboxes[0].seal(3, b"body");
-        assert_eq!(inbox.open(&first), Ok(OpenedDatagram { sender: 1, kind: 3, body: b"body" }));
-        let second = outboxes[1].seal(4, &[0; MAX_BODY_LENGTH]);
-        assert_eq!(second.len(), LENGTH);
-        assert!(inbox.open(&second).is_ok());
-        assert_eq!(inbox.open(&first), Err(OpenError::Replayed));
-        assert!(inbox.open(&outboxes[2].seal(3, b"")).is_ok());
+        let mut opener = DatagramOpener::new(KEY, 2);
+        let mut sealers: Vec<_> = (1..4).map(|sender| DatagramSealer::new(KEY, sender)).collect();
+        let first = sealers[0].seal(3, b"body");
+        assert_eq!(opener.open(&first), Ok(OpenedDatagram { sender: 1, kind: 3, body: b"body" }));
+        let second = sealers[1].seal(4, &[0; MAX_BODY_LENGTH]);
+        assert_eq!(second.len(), MAX_DATAGRAM_LENGTH);
+        assert!(opener.open(&second).is_ok());
+        assert_eq!(opener.open(&first), Err(OpenError::Replayed));
+        assert!(opener.open(&sealers[2].seal(3, b"")).is_ok());
         assert_eq!(
-            inbox.open(&first),
+            opener.open(&first),
             Err(OpenError::Replayed),
             "a replayed datagram counts as activity of its sender"
         );
-        assert!(inbox.open(&second).is_ok(), "its sender was forgotten, so a replay is accepted");
-        assert_eq!(inbox.open(&Outbox::new(b"another", 9).seal(3, b"")), Err(OpenError::Forged));
-        assert_eq!(inbox.senders.len(), 2, "a forged datagram evicts no sender");
-        assert_eq!(inbox.open(&outboxes[0].seal(3, &[0; MAX_BODY_LENGTH + 1])), Err(OpenError::Form));
+        assert!(opener.open(&second).is_ok(), "its sender was forgotten, so a replay is accepted");
+        assert_eq!(opener.open(&DatagramSealer::new(b"another", 9).seal(3, b"")), Err(OpenError::Forged));
+        assert_eq!(opener.senders.len(), 2, "a forged datagram evicts no sender");
+        assert_eq!(opener.open(&sealers[0].seal(3, &[0; MAX_BODY_LENGTH + 1])), Err(OpenError::Form));
     }
 
     proptest! {
         #[test]
         fn a_datagram_with_a_changed_bit_is_refused(at in 0..58usize, bit in 0u8..8, number: u64) {
-            let (mut outbox, mut inbox) = pair();
-            let mut datagram = outbox.note(kind::LIST, number);
+            let (mut sealer, mut opener) = pair();
+            let mut datagram = sealer.seal_hint(kind::SERVER_LIST_CHANGED, number);
             datagram[at] ^= 1 << bit;
-            prop_assert!(inbox.open(&datagram).is_err());
+            prop_assert!(opener.open(&datagram).is_err());
         }
 
         #[test]
-        fn any_bytes_are_refused(bytes in prop::collection::vec(any::<u8>(), 0..2 * LENGTH)) {
+        fn any_bytes_are_refused(bytes in prop::collection::vec(any::<u8>(), 0..2 * MAX_DATAGRAM_LENGTH)) {
             prop_assert!(pair().1.open(&bytes).is_err());
         }
     }
--- a/crates/ravenspar/src/cli.rs
+++ b/crates/ravenspar/src/cli.rs
@@ -167,9 +167,9 @@
     if let Some(fleet) = &mut cfg.fleet {
         for part in without {
             match part {
-                Without::Observers => fleet.switches.single_observer = true,
-                Without::Suspicion => fleet.switches.no_suspicion = true,
-                Without::Comparison => fleet.switches.no_comparison = true,
+                Without::Observers => fleet.toggles.single_observer = true,
+                Without::Suspicion => fleet.toggles.no_suspicion = true,
+                Without::Comparison => fleet.toggles.no_comparison = true,
             }
         }
     }
--- a/crates/ravenspar/src/core.rs
+++ b/crates/ravenspar/src/core.rs
@@ -128,8 +128,8 @@
         const INTERVAL: Time = ravenspar_steward::SECOND;
         let now = self.clock.now();
         if let Some(fleet) = self.process.fleet.as_ref().filter(|_| now >= self.next_reach_at) {
-            let reach = ravenspar_view::Reach::of(self.host.joined());
-            fleet.set_reach(reach);
+            let reach = ravenspar_view::ForwarderSummary::from_numbers(self.host.joined());
+            fleet.set_forwarders(reach);
             self.next_reach_at = now + INTERVAL;
             let view = fleet.view.borrow();
             let others = view.settled.then(|| view.reaches.clone());
@@ -205,7 +205,7 @@
                 }
                 self.host.list_end(ListScope::Complete);
                 self.process.last_list = rows;
-                self.send_hint(kind::LIST, 0);
+                self.send_hint(kind::SERVER_LIST_CHANGED, 0);
             }
             Notification::FollowState(state) => self.process.embedded.write(RecordUpdate::FollowState(state)),
             Notification::Failed(why) => {
--- a/crates/ravenspar/src/fleet.rs
+++ b/crates/ravenspar/src/fleet.rs
@@ -4,9 +4,9 @@
 use std::path::Path;
 
 use ravenspar_net::Clock;
-use ravenspar_notes::{kind, Inbox, Outbox, LENGTH};
+use ravenspar_notes::{kind, DatagramOpener, DatagramSealer, MAX_DATAGRAM_LENGTH};
 use ravenspar_steward::{Time, SECOND};
-use ravenspar_view::{Figures, Kind, Reach, View};
+use ravenspar_view::{ForwarderSummary, Kind, Metrics, View};
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::Instant;
@@ -60,7 +60,7 @@
 
 /// A command to the view's task.
 enum Command {
-    Reach(Reach),
+    ForwarderSummary(ForwarderSummary),
     Hint(u8, u64),
     Leave(oneshot::Sender<()>),
 }
@@ -84,8 +84,8 @@
 
 impl Fleet {
     /// Publishes which forwarders this steward reaches. Dropped while the command queue is full, as a later call repeats it.
-    pub fn set_reach(&self, reach: Reach) {
-        let _ = self.commands.try_send(Command::Reach(reach));
+    pub fn set_forwarders(&self, reach: ForwarderSummary) {
+        let _ = self.commands.try_send(Command::ForwarderSummary(reach));
     }
 
     /// Sends a hint to all other stewards in the view. Dropped while the command queue is full, as a hint may be lost anyway.
@@ -116,8 +116,8 @@
     clock: Clock,
     socket: UdpSocket,
     view: View,
-    inbox: Inbox,
-    outbox: Outbox,
+    opener: DatagramOpener,
+    sealer: DatagramSealer,
     commands: mpsc::Receiver<Command>,
     snapshots: watch::Sender<ViewSnapshot>,
     hints: mpsc::Sender<(u8, u64)>,
@@ -128,7 +128,7 @@
     /// Datagrams that the socket did not accept.
     unsent: u64,
     next_status_at: Time,
-    last_reported: Figures,
+    last_reported: Metrics,
 }
 
 /// Opens the socket and starts the task.
@@ -138,7 +138,7 @@
     let own = socket.local_addr().map_err(|e| e.to_string())?;
     let address = cfg.address.unwrap_or(own);
     let mut settings = ravenspar_view::Settings::new(&cfg.name, address, &cfg.peers);
-    (settings.round, settings.forget, settings.switches) = (cfg.round, cfg.forget, cfg.switches);
+    (settings.round, settings.forget, settings.toggles) = (cfg.round, cfg.forget, cfg.toggles);
     let now = clock.now();
     // Whole milliseconds of the wall clock. If it ran ahead in an earlier incarnation, the
     // other members' reports raise the number.
@@ -153,8 +153,8 @@
         clock,
         socket,
         view,
-        inbox: Inbox::new(&key, MAX_SENDERS),
-        outbox: Outbox::new(&key, sender),
+        opener: DatagramOpener::new(&key, MAX_SENDERS),
+        sealer: DatagramSealer::new(&key, sender),
         commands,
         snapshots,
         hints: to_core,
@@ -162,7 +162,7 @@
         unhinted: 0,
         unsent: 0,
         next_status_at: now + STATUS_INTERVAL,
-        last_reported: Figures::default(),
+        last_reported: Metrics::default(),
     };
     tracing::info!(listen = %own, %address, name = %cfg.name, life = incarnation, "in the fleet");
     task.publish_view();
@@ -174,7 +174,7 @@
     async fn run(&mut self) {
         /// Datagrams read before anything is sent, so that a flood does not delay a round.
         const MAX_DATAGRAMS_PER_WAKEUP: usize = 64;
-        let mut buffer = [0; LENGTH + 1];
+        let mut buffer = [0; MAX_DATAGRAM_LENGTH + 1];
         loop {
             let now = self.clock.now();
             self.view.handle_timeout(now);
@@ -197,7 +197,7 @@
                 }
                 command = self.commands.recv() => match command {
                     None => return,
-                    Some(Command::Reach(reach)) => self.view.set_reach(reach),
+                    Some(Command::ForwarderSummary(reach)) => self.view.set_forwarders(reach),
                     Some(Command::Hint(kind, number)) => self.send_hint(kind, number),
                     Some(Command::Leave(done)) => {
                         self.view.leave(self.clock.now());
@@ -215,10 +215,10 @@
     }
 
     fn handle_datagram(&mut self, now: Time, from: SocketAddr, datagram: &[u8]) {
-        match self.inbox.open(datagram) {
-            Ok(opened) => match (Kind::read(opened.kind), opened.kind, opened.number()) {
+        match self.opener.open(datagram) {
+            Ok(opened) => match (Kind::read(opened.kind), opened.kind, opened.hint_number()) {
                 (Some(kind), ..) => self.view.handle(now, from, kind, opened.body),
-                (None, kind @ (kind::LOOK | kind::LIST), Some(number)) => {
+                (None, kind @ (kind::STORE_CHANGED | kind::SERVER_LIST_CHANGED), Some(number)) => {
                     let queued = self.hints.try_send((kind, number)).is_ok();
                     self.hint_counts[if queued { 1 } else { 2 }] += 1;
                 }
@@ -230,7 +230,7 @@
 
     /// Sends a hint once to each other steward in the view.
     fn send_hint(&mut self, kind: u8, number: u64) {
-        let datagram = self.outbox.note(kind, number);
+        let datagram = self.sealer.seal_hint(kind, number);
         self.unhinted += self.view.addresses().count().saturating_sub(MAX_HINT_RECIPIENTS) as u64;
         for to in self.view.addresses().take(MAX_HINT_RECIPIENTS) {
             self.hint_counts[0] += 1;
@@ -240,7 +240,7 @@
 
     fn send(&mut self) {
         while let Some(send) = self.view.poll() {
-            let datagram = self.outbox.seal(send.kind as u8, &send.body);
+            let datagram = self.sealer.seal(send.kind as u8, &send.body);
             // A datagram that the socket does not accept at once is lost, as any datagram may be.
             self.unsent += u64::from(self.socket.try_send_to(&datagram, send.to).is_err());
         }
@@ -249,7 +249,7 @@
     /// Publishes a snapshot of the view if it has changed.
     fn publish_view(&mut self) {
         let now = self.clock.now();
-        let (number, digest) = self.view.shown();
+        let (number, digest) = self.view.current_view();
         let mut members: Vec<(String, u64)> =
             self.view.names().map(|(name, life)| (name.to_owned(), life)).collect();
         members.sort();
@@ -259,7 +259,7 @@
             settled: self.view.is_settled(now),
             cut_off: self.view.is_cut_off(now),
             members,
-            reaches: self.view.reaches().map(|reach| reach.joined).collect(),
+            reaches: self.view.forwarder_summaries().map(|reach| reach.joined).collect(),
         };
         self.snapshots.send_if_modified(|old| {
             if *old == new {
@@ -285,26 +285,26 @@
     /// Logs the metrics since the last status line.
     fn log_status(&mut self) {
         let now = self.clock.now();
-        let (figures, before) =
-            (self.view.figures(), std::mem::replace(&mut self.last_reported, self.view.figures()));
+        let (metrics, before) =
+            (self.view.metrics(), std::mem::replace(&mut self.last_reported, self.view.metrics()));
         tracing::info!(
-            number = self.view.shown().0,
+            number = self.view.current_view().0,
             settled = self.view.is_settled(now),
-            names = figures.names,
-            datagrams = figures.sent - before.sent,
-            bytes = figures.sent_bytes - before.sent_bytes,
+            names = metrics.names,
+            datagrams = metrics.sent - before.sent,
+            bytes = metrics.sent_bytes - before.sent_bytes,
             unsent = self.unsent,
-            refused = self.inbox.refused,
-            unreadable = figures.unreadable,
-            left_out = figures.left_out,
-            unhelped = figures.unhelped,
-            news = figures.news,
-            news_dropped = figures.news_dropped,
+            refused = self.opener.refused,
+            unreadable = metrics.unreadable,
+            left_out = metrics.dropped_sends,
+            unhelped = metrics.refused_indirect_probes,
+            news = metrics.queued_updates,
+            news_dropped = metrics.dropped_updates,
             hints = ?self.hint_counts,
             unhinted = self.unhinted,
-            comparisons = figures.comparisons,
-            lives = figures.lives,
-            stalls = figures.stalls,
+            comparisons = metrics.comparisons,
+            lives = metrics.incarnations,
+            stalls = metrics.stalls,
             "fleet"
         );
         self.next_status_at = now + STATUS_INTERVAL;
@@ -314,12 +314,12 @@
 /// The answer of a steward to a query of its view.
 pub struct Answer {
     pub view: ravenspar_view::show::Page,
-    pub members: Vec<ravenspar_view::show::Shown>,
+    pub members: Vec<ravenspar_view::show::MemberInfo>,
 }
 
 /// Queries the view of the steward at an address, one page per member.
 pub async fn query(at: SocketAddr, key: &Path) -> Result<Answer, String> {
-    use ravenspar_view::show::{Ask, Page};
+    use ravenspar_view::show::{Page, PageRequest};
     /// Covers a steward that gets a tenth of the CPU time; otherwise an answer comes within milliseconds or is lost.
     const ANSWER_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(300);
     const MAX_ATTEMPTS: usize = 10;
@@ -329,21 +329,21 @@
     // A random sender id: the steward accepts each count of a known sender only once.
     let mut rng = fastrand::Rng::new();
     let (token, sender) = (rng.u32(..), rng.u64(..));
-    let mut outbox = Outbox::new(&key, sender);
-    let mut inbox = Inbox::new(&key, 16);
+    let mut sealer = DatagramSealer::new(&key, sender);
+    let mut opener = DatagramOpener::new(&key, 16);
     let (mut members, mut index) = (Vec::new(), 0);
     'pages: loop {
         for _ in 0..MAX_ATTEMPTS {
-            let request = Ask { token, index };
-            let datagram = outbox.seal(Kind::Show as u8, &request.write());
+            let request = PageRequest { token, index };
+            let datagram = sealer.seal(Kind::PageRequest as u8, &request.write());
             socket.send_to(&datagram, at).await.map_err(|e| format!("{at}: {e}"))?;
             let until = Instant::now() + ANSWER_TIMEOUT;
-            let mut buffer = [0; LENGTH + 1];
+            let mut buffer = [0; MAX_DATAGRAM_LENGTH + 1];
             while let Ok(Ok((length, _))) =
                 tokio::time::timeout_at(until, socket.recv_from(&mut buffer)).await
             {
-                let Ok(opened) = inbox.open(&buffer[..length]) else { continue };
-                let page = Page::read(opened.body).filter(|_| opened.kind == Kind::Shown as u8);
+                let Ok(opened) = opener.open(&buffer[..length]) else { continue };
+                let page = Page::read(opened.body).filter(|_| opened.kind == Kind::Page as u8);
                 let Some(mut page) = page.filter(|page| (page.token, page.index) == (token, index)) else {
                     continue;
                 };
--- a/crates/ravenspar/src/members.rs
+++ b/crates/ravenspar/src/members.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use ravenspar_view::show::Shown;
+use ravenspar_view::show::MemberInfo;
 use ravenspar_view::State;
 
 use crate::fleet::{query, Answer};
@@ -41,23 +41,23 @@
 }
 
 /// A member's state as operators see it; `docs/oncall.md` says how to react to each.
-fn state(member: &Shown) -> &'static str {
-    match (member.state, member.shown, member.accusers.is_empty()) {
+fn state(member: &MemberInfo) -> &'static str {
+    match (member.state, member.shown, member.suspected_by.is_empty()) {
         (State::Left, ..) => "left",
         (State::Gone, ..) => "gone",
-        (State::In, false, _) => "coming",
-        (State::In, true, true) => "in",
-        (State::In, true, false) => "suspect",
+        (State::Alive, false, _) => "coming",
+        (State::Alive, true, true) => "in",
+        (State::Alive, true, false) => "suspect",
     }
 }
 
 /// The names of the members that suspect this one.
-fn accusers(answer: &Answer, member: &Shown) -> Vec<String> {
+fn accusers(answer: &Answer, member: &MemberInfo) -> Vec<String> {
     let name = |id: &u64| {
         let found = answer.members.iter().find(|other| ravenspar_view::id(&other.name) == *id);
         found.map_or_else(|| format!("{id:016x}"), |other| other.name.clone())
     };
-    member.accusers.iter().map(name).collect()
+    member.suspected_by.iter().map(name).collect()
 }
 
 /// The state of the view as a whole.
@@ -69,18 +69,18 @@
     }
 }
 
-fn sorted_members(answer: &Answer) -> Vec<&Shown> {
-    let mut members: Vec<&Shown> = answer.members.iter().collect();
+fn sorted_members(answer: &Answer) -> Vec<&MemberInfo> {
+    let mut members: Vec<&MemberInfo> = answer.members.iter().collect();
     members.sort_by(|a, b| a.name.cmp(&b.name));
     members
 }
 
 fn as_json(answer: &Answer) -> serde_json::Value {
-    let member = |member: &&Shown| {
+    let member = |member: &&MemberInfo| {
         serde_json::json!({
-            "name": member.name, "life": member.life, "address": member.address.to_string(),
+            "name": member.name, "life": member.incarnation, "address": member.address.to_string(),
             "state": state(member), "since_ms": member.since_ms, "suspected_by": accusers(answer, member),
-            "view": member.view.map(|(_, digest)| format!("{digest:016x}")), "joined": member.reach.joined,
+            "view": member.view.map(|(_, digest)| format!("{digest:016x}")), "joined": member.forwarders.joined,
         })
     };
     serde_json::json!({
@@ -109,10 +109,10 @@
         text.push_str(&format!(
             "\n{:<32}  {:>16}  {:<21}  {:<8}  {view:<16}  {:>7}  {:>9.1}  {}",
             member.name,
-            member.life,
+            member.incarnation,
             member.address.to_string(),
             state(member),
-            member.reach.joined,
+            member.forwarders.joined,
             f64::from(member.since_ms) / 1_000.0,
             accusers(answer, member).join(", "),
         ));
--- a/crates/ravenspar/src/settings.rs
+++ b/crates/ravenspar/src/settings.rs
@@ -60,7 +60,7 @@
     pub round: ravenspar_steward::Time,
     pub forget: ravenspar_steward::Time,
     /// Not in the file: the parts of the view that a test disables.
-    pub switches: ravenspar_view::Switches,
+    pub toggles: ravenspar_view::FeatureToggles,
 }
 
 /// The settings of debts.
--- a/crates/ravenspar/src/settings/sections.rs
+++ b/crates/ravenspar/src/settings/sections.rs
@@ -67,8 +67,8 @@
     for name in names.iter().filter(|name| text(name).is_empty()) {
         errors.push((line, column, format!("{name}: missing, it is needed for a view of the fleet")));
     }
-    if text("fleet.name").len() > ravenspar_view::NAME {
-        let what = format!("fleet.name: expected at most {} bytes", ravenspar_view::NAME);
+    if text("fleet.name").len() > ravenspar_view::MAX_NAME_LENGTH {
+        let what = format!("fleet.name: expected at most {} bytes", ravenspar_view::MAX_NAME_LENGTH);
         errors.push((line, column, what));
     }
     let listen: std::net::SocketAddr = text("fleet.listen").parse().ok()?;
@@ -91,7 +91,7 @@
         key: folder.join(text("fleet.key")),
         round,
         forget,
-        switches: ravenspar_view::Switches::default(),
+        toggles: ravenspar_view::FeatureToggles::default(),
     })
 }
 
--- a/crates/ravenspar/src/settings/table.rs
+++ b/crates/ravenspar/src/settings/table.rs
@@ -71,7 +71,7 @@
     program("fleet.address", ValueType::Address, Some("")),
     program("fleet.peers", ValueType::Addresses, Some("")),
     program("fleet.key", ValueType::Text, Some("")),
-    // The reasons are at `ravenspar_view::ROUND` and `FORGET`.
+    // The reasons are at `ravenspar_view::DEFAULT_ROUND` and `DEFAULT_FORGET`.
     program("fleet.round", ValueType::Time, Some("300ms")),
     program("fleet.forget", ValueType::Time, Some("10m")),
     program("jobs.listen", ValueType::Text, Some("")),
--- a/crates/ravenspar/src/sharing.rs
+++ b/crates/ravenspar/src/sharing.rs
@@ -26,7 +26,7 @@
         tracing::info!(slices = shared.incarnation.fleet.count(), "leaving");
         shared.incarnation.fleet.leave(now);
         shared.incarnation.say_leaving();
-        self.send_hint(kind::LOOK, u64::MAX);
+        self.send_hint(kind::STORE_CHANGED, u64::MAX);
         false
     }
 
@@ -88,7 +88,7 @@
             Event::Gave { slices, to, term } => {
                 tracing::info!(slices = slices.len(), to = %format_args!("{to:016x}"), term, "gave slices");
                 fleet.handed_over(&slices, to, term);
-                self.send_hint(kind::LOOK, term);
+                self.send_hint(kind::STORE_CHANGED, term);
             }
             Event::Done => {
                 shared.new_assignments.complete();
@@ -160,8 +160,10 @@
         let Some(shared) = &self.shared else { return };
         match kind {
             // A revision that was seen already needs no poll.
-            kind::LOOK if shared.seen.is_none_or(|(_, seen)| seen < number) => shared.incarnation.look(),
-            kind::LIST => self.process.refresh_list.notify_one(),
+            kind::STORE_CHANGED if shared.seen.is_none_or(|(_, seen)| seen < number) => {
+                shared.incarnation.look()
+            }
+            kind::SERVER_LIST_CHANGED => self.process.refresh_list.notify_one(),
             _ => {}
         }
     }
--- a/crates/view/src/lib.rs
+++ b/crates/view/src/lib.rs
@@ -15,7 +15,7 @@
 use std::net::SocketAddr;
 
 pub use table::{Entry, State};
-pub use view::{Figures, View};
+pub use view::{Metrics, View};
 pub use wire::{Kind, MAX_BODY_LENGTH};
 
 /// A point in time or a duration, in units of 0.1 ms.
@@ -29,21 +29,21 @@
 pub type Incarnation = u64;
 
 /// The longest name, in bytes. Three records with such names fit into a datagram beside a probe's status.
-pub const NAME: usize = 32;
+pub const MAX_NAME_LENGTH: usize = 32;
 
 /// The forwarders joined to a steward, as it reports them to the others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Reach {
+pub struct ForwarderSummary {
     /// How many forwarders are joined.
     pub joined: u32,
     /// Digest of their numbers, independent of the order.
     pub digest: u64,
 }
 
-impl Reach {
+impl ForwarderSummary {
     /// Summarizes the numbers of the joined forwarders.
-    pub fn of(joined: impl Iterator<Item = usize>) -> Reach {
-        joined.fold(Reach::default(), |sum, number| Reach {
+    pub fn from_numbers(joined: impl Iterator<Item = usize>) -> ForwarderSummary {
+        joined.fold(ForwarderSummary::default(), |sum, number| ForwarderSummary {
             joined: sum.joined + 1,
             digest: sum.digest ^ mix(number as u64),
         })
@@ -62,7 +62,7 @@
     pub round: Time,
     /// How long the address of a lost member is still probed, in case it comes back there.
     pub forget: Time,
-    pub switches: Switches,
+    pub toggles: FeatureToggles,
 }
 
 impl Settings {
@@ -72,9 +72,9 @@
             name: name.to_owned(),
             address,
             peers: peers.to_vec(),
-            round: ROUND,
-            forget: FORGET,
-            switches: Switches::default(),
+            round: DEFAULT_ROUND,
+            forget: DEFAULT_FORGET,
+            toggles: FeatureToggles::default(),
         }
     }
 }
@@ -82,15 +82,15 @@
 /// Default of [`Settings::round`]. Three unanswered rounds, three to refute, and two until the view is stable make 2.6 s:
 /// less than the lease of a membership, so that a successor knows of a failure before it may act. With delays of a few
 /// milliseconds, as within one region, a third of a round is enough for an answer.
-pub const ROUND: Time = 3_000;
+pub const DEFAULT_ROUND: Time = 3_000;
 
 /// Default of [`Settings::forget`]: longer than any split that heals without an operator. The configured peers are probed
 /// even after that.
-pub const FORGET: Time = 6_000_000;
+pub const DEFAULT_FORGET: Time = 6_000_000;
 
 /// Parts of the protocol that a test turns off to show that its checks detect it. Never set in production.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Switches {
+pub struct FeatureToggles {
     /// One observer's suspicion is enough to drop a member.
     pub single_observer: bool,
     /// Members are dropped at once, with no time to refute the suspicions.
--- a/crates/view/src/show.rs
+++ b/crates/view/src/show.rs
@@ -6,14 +6,14 @@
 
 use crate::table::State;
 use crate::wire::{read_address, write_address};
-use crate::{Id, Incarnation, Reach, NAME};
+use crate::{ForwarderSummary, Id, Incarnation, MAX_NAME_LENGTH};
 
 /// Suspecting observers that are listed per member.
 const MAX_SUSPECTING_OBSERVERS: usize = 4;
 
 /// Requests the page with this index; the answer repeats the token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct PageRequest {
     pub token: u32,
     pub index: u16,
 }
@@ -29,14 +29,14 @@
     pub settled: bool,
     pub cut_off: bool,
     /// `None` past the last index.
-    pub member: Option<Shown>,
+    pub member: Option<MemberInfo>,
 }
 
 /// A member as shown to a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Shown {
+pub struct MemberInfo {
     pub name: String,
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     pub address: SocketAddr,
     pub state: State,
     /// Whether this incarnation is in the view.
@@ -44,13 +44,13 @@
     /// Time since it entered its state, in milliseconds.
     pub since_ms: u32,
     /// Observers that suspect it.
-    pub accusers: Vec<Id>,
-    pub reach: Reach,
+    pub suspected_by: Vec<Id>,
+    pub forwarders: ForwarderSummary,
     /// Number and digest of the view that it last reported.
     pub view: Option<(u32, u64)>,
 }
 
-impl Ask {
+impl PageRequest {
     pub fn write(&self) -> Vec<u8> {
         let mut body = Vec::new();
         body.put_u32(self.token);
@@ -58,8 +58,8 @@
         body
     }
 
-    pub fn read(mut body: &[u8]) -> Option<Ask> {
-        let request = Ask { token: body.try_get_u32().ok()?, index: body.try_get_u16().ok()? };
+    pub fn read(mut body: &[u8]) -> Option<PageRequest> {
+        let request = PageRequest { token: body.try_get_u32().ok()?, index: body.try_get_u16().ok()? };
         body.is_empty().then_some(request)
     }
 }
@@ -89,17 +89,17 @@
         );
         let Some(member) = member else { return body };
         body.put_u8(member.state as u8);
-        body.put_u64(member.life);
+        body.put_u64(member.incarnation);
         write_address(&member.address, &mut body);
         body.put_u32(member.since_ms);
-        body.put_u32(member.reach.joined);
-        body.put_u64(member.reach.digest);
+        body.put_u32(member.forwarders.joined);
+        body.put_u64(member.forwarders.digest);
         let (number, digest) = member.view.unwrap_or_default();
         body.put_u32(number);
         body.put_u64(digest);
         body.put_u8(member.name.len() as u8);
         body.put_slice(member.name.as_bytes());
-        member.accusers.iter().take(MAX_SUSPECTING_OBSERVERS).for_each(|accuser| body.put_u64(*accuser));
+        member.suspected_by.iter().take(MAX_SUSPECTING_OBSERVERS).for_each(|accuser| body.put_u64(*accuser));
         body
     }
 
@@ -121,35 +121,36 @@
             return from.is_empty().then_some(page);
         }
         let state = match from.try_get_u8().ok()? {
-            0 => State::In,
+            0 => State::Alive,
             1 => State::Left,
             2 => State::Gone,
             _ => return None,
         };
-        let life = from.try_get_u64().ok()?;
+        let incarnation = from.try_get_u64().ok()?;
         let address = read_address(from)?;
         let since_ms = from.try_get_u32().ok()?;
-        let reach = Reach { joined: from.try_get_u32().ok()?, digest: from.try_get_u64().ok()? };
+        let forwarders =
+            ForwarderSummary { joined: from.try_get_u32().ok()?, digest: from.try_get_u64().ok()? };
         let view = (from.try_get_u32().ok()?, from.try_get_u64().ok()?);
         let length = usize::from(from.try_get_u8().ok()?);
-        if length == 0 || length > NAME || from.remaining() < length {
+        if length == 0 || length > MAX_NAME_LENGTH || from.remaining() < length {
             return None;
         }
         let name = std::str::from_utf8(&from[..length]).ok()?.to_owned();
         from.advance(length);
-        let mut accusers = Vec::new();
+        let mut suspected_by = Vec::new();
         while !from.is_empty() {
-            accusers.push(from.try_get_u64().ok()?);
+            suspected_by.push(from.try_get_u64().ok()?);
         }
-        page.member = Some(Shown {
+        page.member = Some(MemberInfo {
             name,
-            life,
+            incarnation,
             address,
             state,
             shown: flags & SHOWN != 0,
             since_ms,
-            accusers,
-            reach,
+            suspected_by,
+            forwarders,
             view: (flags & HAS_VIEW != 0).then_some(view),
         });
         Some(page)
--- a/crates/view/src/table.rs
+++ b/crates/view/src/table.rs
@@ -4,13 +4,13 @@
 use std::net::SocketAddr;
 
 use crate::wire::Range;
-use crate::{mix, Id, Incarnation, Reach, Time};
+use crate::{mix, ForwarderSummary, Id, Incarnation, Time};
 
 /// State of a member's incarnation; the higher one wins when records of an incarnation are merged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum State {
     /// A current member.
-    In,
+    Alive,
     /// It left by its own request.
     Left,
     /// It was dropped by the others; final for this incarnation.
@@ -70,7 +70,7 @@
     /// Number and digest of its view as last reported by it.
     pub reported_view: Option<(u32, u64)>,
     /// Forwarders joined to it as last reported by it.
-    pub forwarders: Reach,
+    pub forwarders: ForwarderSummary,
     /// When its last status was received.
     pub reported_at: Time,
     /// Since when its table has differed from this member's.
@@ -133,7 +133,7 @@
     /// Adds a record to the digests and counts, or takes it out.
     fn update_totals(&mut self, record: &Record, added: bool) {
         self.digest ^= record.hash();
-        if record.state == State::In {
+        if record.state == State::Alive {
             self.members_digest ^= mix(record.id ^ mix(record.incarnation));
             self.member_count = if added { self.member_count + 1 } else { self.member_count - 1 };
             self.version += 1;
@@ -146,7 +146,7 @@
 
     /// Returns true if the name is a current member.
     pub fn is_member(&self, id: Id) -> bool {
-        self.get(id).is_some_and(|entry| entry.record.state == State::In)
+        self.get(id).is_some_and(|entry| entry.record.state == State::Alive)
     }
 
     /// Takes a record in unless the table has the same or a newer one.
@@ -172,7 +172,7 @@
             suspected_since: None,
             suspect_majority_since: None,
             reported_view: None,
-            forwarders: Reach::default(),
+            forwarders: ForwarderSummary::default(),
             reported_at: Time::MIN / 2,
             differs_since: None,
         });
@@ -185,14 +185,14 @@
         }
         if !same_life {
             (entry.reported_view, entry.forwarders, entry.reported_at) =
-                (None, Reach::default(), Time::MIN / 2);
+                (None, ForwarderSummary::default(), Time::MIN / 2);
         }
         Merged::Changed
     }
 
     /// Removes the name lost for the longest. Returns false if all are current members.
     fn evict(&mut self) -> bool {
-        let lost = self.entries.iter().filter(|(_, entry)| entry.record.state != State::In);
+        let lost = self.entries.iter().filter(|(_, entry)| entry.record.state != State::Alive);
         let Some(oldest) = lost.min_by_key(|(id, entry)| (entry.state_since, **id)).map(|(id, _)| *id) else {
             return false;
         };
@@ -206,7 +206,7 @@
     pub fn record_vote(&mut self, now: Time, vote: Vote) -> bool {
         let Some(entry) = self.entries.get_mut(&vote.subject) else { return false };
         let record = &entry.record;
-        if record.state != State::In
+        if record.state != State::Alive
             || (record.incarnation, record.refutations) != (vote.incarnation, vote.refutations)
         {
             return false;
@@ -231,7 +231,7 @@
     /// Current members, this one included.
     pub fn members(&self) -> impl Iterator<Item = (Id, &Entry)> {
         let all = self.entries.iter().map(|(id, entry)| (*id, entry));
-        all.filter(|(_, entry)| entry.record.state == State::In)
+        all.filter(|(_, entry)| entry.record.state == State::Alive)
     }
 
     /// The members that `observer` probes: its successor on each of [`OBSERVERS`] rings, each in its own pseudo-random order.
--- a/crates/view/src/view.rs
+++ b/crates/view/src/view.rs
@@ -11,32 +11,32 @@
 
 use crate::gossip::{GossipKey, GossipQueue};
 use crate::probe::{IndirectProbe, Probes, MAX_BACKOFF, MAX_INDIRECT_PROBES};
-use crate::show::{Ask, Page, Shown};
+use crate::show::{MemberInfo, Page, PageRequest};
 use crate::table::{Merged, Record, State, Table, Vote};
 use crate::wire::{Item, Kind, Range, SenderStatus, MAX_BODY_LENGTH, STATUS_LENGTH};
-use crate::{id, Datagram, Id, Incarnation, Reach, Settings, Time};
+use crate::{id, Datagram, ForwarderSummary, Id, Incarnation, Settings, Time};
 
 /// Counters and queue lengths for the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct Metrics {
     /// Datagrams sent, and the bytes of their bodies.
     pub sent: u64,
     pub sent_bytes: u64,
     /// Malformed bodies received.
     pub unreadable: u64,
     /// Datagrams dropped because too many waited to be sent.
-    pub left_out: u64,
+    pub dropped_sends: u64,
     /// Requests for indirect probes refused because too many were in flight.
-    pub unhelped: u64,
+    pub refused_indirect_probes: u64,
     /// Updates queued, and updates dropped because the queue was full.
-    pub news: usize,
-    pub news_dropped: u64,
+    pub queued_updates: usize,
+    pub dropped_updates: u64,
     /// Names in the membership table, the lost ones included.
     pub names: usize,
     /// Views shown so far.
     pub changes: u64,
     /// Incarnations of this steward since its process started.
-    pub lives: u64,
+    pub incarnations: u64,
     /// Table comparisons started.
     pub comparisons: u64,
     /// Times that this process was found to have been paused for a round or more.
@@ -92,7 +92,7 @@
     rejoin_attempts: u32,
     last_incarnation_at: Time,
     leaving: bool,
-    figures: Figures,
+    metrics: Metrics,
 }
 
 impl View {
@@ -104,7 +104,7 @@
         let name = cfg.name.clone();
         table.merge(
             now,
-            &Record { id: me, name, address: cfg.address, incarnation, refutations: 0, state: State::In },
+            &Record { id: me, name, address: cfg.address, incarnation, refutations: 0, state: State::Alive },
         );
         // A random phase, so that stewards that start together don't probe together.
         let round_at = now + rng.i64(0..=cfg.round / 2);
@@ -133,7 +133,7 @@
             rejoin_attempts: 0,
             last_incarnation_at: now,
             leaving: false,
-            figures: Figures { lives: 1, ..Figures::default() },
+            metrics: Metrics { incarnations: 1, ..Metrics::default() },
             cfg,
         };
         view.gossip.add(GossipKey::Record(me));
@@ -147,14 +147,14 @@
     }
 
     /// Sets the forwarders joined to this steward, which it reports to the others.
-    pub fn set_reach(&mut self, reach: Reach) {
+    pub fn set_forwarders(&mut self, forwarders: ForwarderSummary) {
         if let Some(own) = self.table.entries.get_mut(&self.me) {
-            own.forwarders = reach;
+            own.forwarders = forwarders;
         }
     }
 
     /// Number and digest of the current view.
-    pub fn shown(&self) -> (u32, u64) {
+    pub fn current_view(&self) -> (u32, u64) {
         (self.view_number, self.view_digest)
     }
 
@@ -171,7 +171,7 @@
     }
 
     /// The forwarders that the other members in the view last reported as joined to them.
-    pub fn reaches(&self) -> impl Iterator<Item = Reach> + '_ {
+    pub fn forwarder_summaries(&self) -> impl Iterator<Item = ForwarderSummary> + '_ {
         let others = self.shown.keys().filter(|id| **id != self.me);
         others
             .filter_map(|id| self.table.get(*id))
@@ -180,21 +180,27 @@
     }
 
     /// Summary of the view and the entry at an index of all known names, the lost ones included.
-    pub fn page(&self, now: Time, request: &Ask) -> Page {
-        let member = self.table.entries.iter().nth(usize::from(request.index)).map(|(id, entry)| Shown {
-            name: entry.record.name.clone(),
-            life: entry.record.incarnation,
-            address: entry.record.address,
-            state: entry.record.state,
-            shown: self.shown.get(id) == Some(&entry.record.incarnation),
-            since_ms: ((now - entry.state_since) / 10).clamp(0, i64::from(u32::MAX)) as u32,
-            accusers: entry.votes.iter().filter(|vote| vote.suspects).map(|vote| vote.observer).collect(),
-            reach: entry.forwarders,
-            view: match *id == self.me {
-                true => Some((self.view_number, self.view_digest)),
-                false => entry.reported_view,
-            },
-        });
+    pub fn page(&self, now: Time, request: &PageRequest) -> Page {
+        let member =
+            self.table.entries.iter().nth(usize::from(request.index)).map(|(id, entry)| MemberInfo {
+                name: entry.record.name.clone(),
+                incarnation: entry.record.incarnation,
+                address: entry.record.address,
+                state: entry.record.state,
+                shown: self.shown.get(id) == Some(&entry.record.incarnation),
+                since_ms: ((now - entry.state_since) / 10).clamp(0, i64::from(u32::MAX)) as u32,
+                suspected_by: entry
+                    .votes
+                    .iter()
+                    .filter(|vote| vote.suspects)
+                    .map(|vote| vote.observer)
+                    .collect(),
+                forwarders: entry.forwarders,
+                view: match *id == self.me {
+                    true => Some((self.view_number, self.view_digest)),
+                    false => entry.reported_view,
+                },
+            });
         Page {
             token: request.token,
             index: request.index,
@@ -206,12 +212,12 @@
         }
     }
 
-    pub fn figures(&self) -> Figures {
-        Figures {
-            news: self.gossip.len(),
-            news_dropped: self.gossip.dropped,
+    pub fn metrics(&self) -> Metrics {
+        Metrics {
+            queued_updates: self.gossip.len(),
+            dropped_updates: self.gossip.dropped,
             names: self.table.entries.len(),
-            ..self.figures
+            ..self.metrics
         }
     }
 
@@ -259,8 +265,8 @@
     /// The next datagram to send.
     pub fn poll(&mut self) -> Option<Datagram> {
         let datagram = self.outgoing.pop_front()?;
-        self.figures.sent += 1;
-        self.figures.sent_bytes += datagram.body.len() as u64;
+        self.metrics.sent += 1;
+        self.metrics.sent_bytes += datagram.body.len() as u64;
         Some(datagram)
     }
 
@@ -271,7 +277,7 @@
         }
         // This process was paused: missed answers of that time must not count against the other members.
         if now - self.round_at > self.cfg.round {
-            self.figures.stalls += 1;
+            self.metrics.stalls += 1;
             let gap = now - self.round_at;
             self.probes.discard_pending();
             self.last_answer_at += gap;
@@ -311,7 +317,7 @@
     /// Handles the body of a datagram whose envelope was verified.
     pub fn handle(&mut self, now: Time, from: SocketAddr, kind: Kind, body: &[u8]) {
         if self.leaving || body.len() > MAX_BODY_LENGTH || !self.read(now, from, kind, body) {
-            self.figures.unreadable += u64::from(!self.leaving);
+            self.metrics.unreadable += u64::from(!self.leaving);
         }
         self.schedule_gossip(now);
     }
@@ -368,14 +374,14 @@
                 self.handle_push(now, from, range, items);
                 true
             }
-            Kind::Show => {
-                let Some(request) = Ask::read(body) else { return false };
+            Kind::PageRequest => {
+                let Some(request) = PageRequest::read(body) else { return false };
                 let page = self.page(now, &request);
-                self.send(from, Kind::Shown, page.write());
+                self.send(from, Kind::Page, page.write());
                 true
             }
             // Read by the clients that ask for pages, not by members.
-            Kind::Shown => true,
+            Kind::Page => true,
         }
     }
 
@@ -409,7 +415,8 @@
             Merged::Changed => {
                 self.gossip.add(GossipKey::Record(id));
                 let subject = self.probes.subjects.get_mut(&id);
-                if let Some(subject) = subject.filter(|_| record.refutations > 0 && record.state == State::In)
+                if let Some(subject) =
+                    subject.filter(|_| record.refutations > 0 && record.state == State::Alive)
                 {
                     // It refuted: the suspicion was wrong, or only the link to it is bad.
                     if subject.suspected {
@@ -420,7 +427,7 @@
                 self.mark_changed(now);
             }
             // The sender's table is out of date: the newer record is sent again.
-            Merged::Stale if record.state == State::In => self.gossip.add(GossipKey::Record(id)),
+            Merged::Stale if record.state == State::Alive => self.gossip.add(GossipKey::Record(id)),
             _ => {}
         }
     }
@@ -429,7 +436,7 @@
     fn handle_own_record(&mut self, now: Time, record: &Record) {
         let Some(own) = self.table.get(self.me).map(|entry| entry.record.clone()) else { return };
         if record.incarnation > own.incarnation
-            || record.incarnation == own.incarnation && record.state != State::In
+            || record.incarnation == own.incarnation && record.state != State::Alive
         {
             // This incarnation was dropped, or the clock of an earlier process ran ahead: start a new one, with an
             // exponential backoff, so that a steward on a bad link does not come and go without end.
@@ -455,7 +462,7 @@
     fn start_incarnation(&mut self, now: Time) {
         self.rejoin_at = None;
         self.last_incarnation_at = now;
-        self.figures.lives += 1;
+        self.metrics.incarnations += 1;
         let name = self.cfg.name.clone();
         let incarnation = self.incarnation().saturating_add(1);
         self.table.merge(
@@ -466,7 +473,7 @@
                 address: self.cfg.address,
                 incarnation,
                 refutations: 0,
-                state: State::In,
+                state: State::Alive,
             },
         );
         self.gossip.add(GossipKey::Record(self.me));
@@ -478,7 +485,7 @@
     fn refute(&mut self, now: Time, vote: &Vote) {
         let Some(own) = self.table.get(self.me).map(|entry| entry.record.clone()) else { return };
         if vote.suspects
-            && own.state == State::In
+            && own.state == State::Alive
             && (vote.incarnation, vote.refutations) == (own.incarnation, own.refutations)
         {
             self.table.merge(now, &Record { refutations: own.refutations.saturating_add(1), ..own });
@@ -503,7 +510,7 @@
         let known = self.table.get(status.from).map(|entry| &entry.record);
         let mut body = self.status_body(status.seq);
         if let Some(known) =
-            known.filter(|known| known.incarnation > status.incarnation || known.state != State::In)
+            known.filter(|known| known.incarnation > status.incarnation || known.state != State::Alive)
         {
             // The sender's incarnation is over: it learns of that at once.
             Item::Record(known.clone()).write(&mut body);
@@ -528,7 +535,7 @@
         self.probes.indirect.retain(|_, indirect| indirect.expires_at > now);
         let Some(address) = self.table.get(id).map(|entry| entry.record.address) else { return };
         if self.probes.indirect.len() >= MAX_INDIRECT_PROBES {
-            self.figures.unhelped += 1;
+            self.metrics.refused_indirect_probes += 1;
             return;
         }
         let own_seq = self.next_seq();
@@ -564,7 +571,7 @@
             view_number: self.view_number,
             view_digest: self.view_digest,
             table_digest: self.table.digest,
-            forwarders: own.map_or(Reach::default(), |own| own.forwarders),
+            forwarders: own.map_or(ForwarderSummary::default(), |own| own.forwarders),
         };
         let mut body = Vec::with_capacity(MAX_BODY_LENGTH);
         status.write(&mut body);
@@ -598,7 +605,7 @@
         if self.outgoing.len() < MAX_QUEUED_SENDS {
             self.outgoing.push_back(Datagram { to, kind, body });
         } else {
-            self.figures.left_out += 1;
+            self.metrics.dropped_sends += 1;
         }
     }
 }
--- a/crates/view/src/view/compare.rs
+++ b/crates/view/src/view/compare.rs
@@ -26,11 +26,11 @@
         }
         let since = *since.get_or_insert(now);
         let too_early = known && now - since < 4 * self.cfg.round;
-        if self.cfg.switches.no_comparison || too_early || now < self.next_compare_at {
+        if self.cfg.toggles.no_comparison || too_early || now < self.next_compare_at {
             return;
         }
         self.next_compare_at = now + self.cfg.round / 2;
-        self.figures.comparisons += 1;
+        self.metrics.comparisons += 1;
         self.send_digests(with, Range::default());
     }
 
--- a/crates/view/src/view/rounds.rs
+++ b/crates/view/src/view/rounds.rs
@@ -29,7 +29,7 @@
             .iter()
             .map(|(id, subject)| (*id, subject.missed_rounds >= SUSPECT_AFTER_ROUNDS * (1 + subject.backoff)))
             .collect();
-        let own_link_bad = self.probes.is_own_link_bad() && !self.cfg.switches.single_observer;
+        let own_link_bad = self.probes.is_own_link_bad() && !self.cfg.toggles.single_observer;
         for (id, silent) in results.into_iter().filter(|(_, silent)| !(*silent && own_link_bad)) {
             self.cast_vote(now, id, silent);
         }
@@ -57,7 +57,9 @@
 
     /// Votes on whether a probed member answers, unless this member has voted so already or the vote would not matter.
     fn cast_vote(&mut self, now: Time, id: Id, silent: bool) {
-        let Some(entry) = self.table.get(id).filter(|entry| entry.record.state == State::In) else { return };
+        let Some(entry) = self.table.get(id).filter(|entry| entry.record.state == State::Alive) else {
+            return;
+        };
         let (incarnation, refutations) = (entry.record.incarnation, entry.record.refutations);
         let previous = entry.votes.iter().find(|vote| vote.observer == self.me).map(|vote| vote.suspects);
         // A vote that it is alive only matters against a suspicion, and is not cast after missed rounds.
@@ -86,14 +88,14 @@
     pub(super) fn drop_failed(&mut self, now: Time) {
         // A member that receives no answers can't tell whether the others have failed, and would not receive their
         // refutations. Nor can one on a bad link, which misses answers that others receive.
-        let switches = self.cfg.switches;
-        if !self.probes.any_answered || self.probes.is_own_link_bad() && !switches.single_observer {
+        let toggles = self.cfg.toggles;
+        if !self.probes.any_answered || self.probes.is_own_link_bad() && !toggles.single_observer {
             return;
         }
-        let refutation_time = if switches.no_suspicion { 0 } else { REFUTATION_ROUNDS * self.cfg.round };
+        let refutation_time = if toggles.no_suspicion { 0 } else { REFUTATION_ROUNDS * self.cfg.round };
         let lost = |entry: &crate::Entry| {
             let since =
-                if switches.single_observer { entry.suspected_since } else { entry.suspect_majority_since };
+                if toggles.single_observer { entry.suspected_since } else { entry.suspect_majority_since };
             since.is_some_and(|at| now - at >= refutation_time)
         };
         let lost: Vec<Record> = self
--- a/crates/view/src/view/stability.rs
+++ b/crates/view/src/view/stability.rs
@@ -53,7 +53,7 @@
             let reported =
                 self.table.members().filter_map(|(_, entry)| entry.reported_view.map(|(number, _)| number));
             self.view_number = reported.max().unwrap_or(0).max(self.view_number) + 1;
-            self.figures.changes += 1;
+            self.metrics.changes += 1;
             self.shown = shown;
         }
         self.view_digest = self.table.members_digest;
--- a/crates/view/src/wire.rs
+++ b/crates/view/src/wire.rs
@@ -7,7 +7,7 @@
 use bytes::{Buf, BufMut};
 
 use crate::table::{Record, State, Vote};
-use crate::{Id, Incarnation, Reach, NAME};
+use crate::{ForwarderSummary, Id, Incarnation, MAX_NAME_LENGTH};
 
 /// The longest body, in bytes: with its envelope a datagram has 256.
 pub const MAX_BODY_LENGTH: usize = 206;
@@ -29,16 +29,16 @@
     Digests = 8,
     /// The few records of a range; the receiver answers with its records of the range that are not among them.
     Push = 9,
-    /// Asks for a page of the view, answered by `Shown`.
-    Show = 10,
+    /// Asks for a page of the view, answered by `Page`.
+    PageRequest = 10,
     /// A page of the view.
-    Shown = 11,
+    Page = 11,
 }
 
 impl Kind {
     pub fn read(byte: u8) -> Option<Kind> {
-        use Kind::{Ack, Digests, Gossip, IndirectAck, Ping, ProbeRequest, Push, Show, Shown};
-        [Ping, Ack, ProbeRequest, IndirectAck, Gossip, Digests, Push, Show, Shown]
+        use Kind::{Ack, Digests, Gossip, IndirectAck, Page, PageRequest, Ping, ProbeRequest, Push};
+        [Ping, Ack, ProbeRequest, IndirectAck, Gossip, Digests, Push, PageRequest, Page]
             .into_iter()
             .find(|kind| *kind as u8 == byte)
     }
@@ -55,7 +55,7 @@
     pub view_digest: u64,
     /// Digest of the sender's membership table.
     pub table_digest: u64,
-    pub forwarders: Reach,
+    pub forwarders: ForwarderSummary,
 }
 
 /// Encoded length of a [`SenderStatus`], in bytes.
@@ -81,7 +81,7 @@
             view_number: from.get_u32(),
             view_digest: from.get_u64(),
             table_digest: from.get_u64(),
-            forwarders: Reach { joined: from.get_u32(), digest: from.get_u64() },
+            forwarders: ForwarderSummary { joined: from.get_u32(), digest: from.get_u64() },
         })
     }
 }
@@ -137,7 +137,7 @@
         match self {
             Item::Record(record) => {
                 to.put_u8(match record.state {
-                    State::In => 1,
+                    State::Alive => 1,
                     State::Left => 2,
                     State::Gone => 3,
                 });
@@ -171,7 +171,7 @@
             }));
         }
         let state = match kind {
-            1 => State::In,
+            1 => State::Alive,
             2 => State::Left,
             3 => State::Gone,
             _ => return None,
@@ -183,7 +183,7 @@
             return None;
         }
         let length = usize::from(from.try_get_u8().ok()?);
-        if length == 0 || length > NAME || from.remaining() < length {
+        if length == 0 || length > MAX_NAME_LENGTH || from.remaining() < length {
             return None;
         }
         let name = std::str::from_utf8(&from[..length]).ok()?.to_owned();
--- a/crates/view/tests/fleet/common.rs
+++ b/crates/view/tests/fleet/common.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::{Ipv4Addr, SocketAddr};
 
-use ravenspar_view::{Kind, Settings, Switches, Time, View};
+use ravenspar_view::{FeatureToggles, Kind, Settings, Time, View};
 
 /// One second in the units of [`Time`].
 pub const SECOND: Time = 10_000;
@@ -31,7 +31,7 @@
     pub nodes: Vec<Node>,
     /// Members whose addresses all are configured with as peers.
     pub seeds: Vec<usize>,
-    pub switches: Switches,
+    pub toggles: FeatureToggles,
     pub rng: fastrand::Rng,
     queue: BinaryHeap<Reverse<(Time, u64, Event)>>,
     event_count: u64,
@@ -63,7 +63,7 @@
             now: 1_000 * SECOND,
             nodes: Vec::new(),
             seeds: vec![0],
-            switches: Switches::default(),
+            toggles: FeatureToggles::default(),
             rng: fastrand::Rng::with_seed(seed),
             queue: BinaryHeap::new(),
             event_count: 0,
@@ -72,7 +72,7 @@
             cut: Default::default(),
             delay: 10,
             network_paused_until: 0,
-            round: ravenspar_view::ROUND,
+            round: ravenspar_view::DEFAULT_ROUND,
             sent: Vec::new(),
             bytes: Vec::new(),
         };
@@ -93,7 +93,7 @@
     pub fn start(&mut self, n: usize) {
         let peers: Vec<SocketAddr> = self.seeds.iter().map(|&seed| address(seed)).collect();
         let mut cfg = Settings::new(&format!("steward-{n}"), address(n), &peers);
-        (cfg.round, cfg.switches) = (self.round, self.switches);
+        (cfg.round, cfg.toggles) = (self.round, self.toggles);
         self.nodes[n].starts += 1;
         self.nodes[n].inbox.clear();
         // Wall-clock milliseconds, as in the program.
@@ -213,11 +213,11 @@
     pub fn agree(&self, members: &[usize]) -> bool {
         let expected: BTreeMap<String, u64> =
             members.iter().map(|&n| (format!("steward-{n}"), self.view(n).incarnation())).collect();
-        let digest = self.view(members[0]).shown().1;
+        let digest = self.view(members[0]).current_view().1;
         members.iter().all(|&n| {
             let shown: BTreeMap<String, u64> =
                 self.view(n).names().map(|(name, incarnation)| (name.to_owned(), incarnation)).collect();
-            shown == expected && self.view(n).shown().1 == digest
+            shown == expected && self.view(n).current_view().1 == digest
         })
     }
 
@@ -243,7 +243,7 @@
             format!(
                 "{n}: incarnation {} cut off {cut} shows {names:?} {:?}\n",
                 view.incarnation(),
-                view.figures()
+                view.metrics()
             )
         };
         self.live().into_iter().map(one).collect()
--- a/crates/view/tests/fleet/faults.rs
+++ b/crates/view/tests/fleet/faults.rs
@@ -13,7 +13,7 @@
 
 /// View changes and incarnations of each of these members.
 fn counts(fleet: &Fleet, of: &[usize]) -> Vec<(u64, u64)> {
-    of.iter().map(|&n| (fleet.view(n).figures().changes, fleet.view(n).figures().lives)).collect()
+    of.iter().map(|&n| (fleet.view(n).metrics().changes, fleet.view(n).metrics().incarnations)).collect()
 }
 
 #[test]
@@ -189,9 +189,9 @@
 
 /// Plays overlapping joins, crashes, restarts, splits, pauses and losses drawn from the seed, then heals all. Returns how
 /// long the fleet took to agree after that, or `None` if it did not within a minute.
-fn storm(seed: u64, members: usize, switches: ravenspar_view::Switches) -> Option<i64> {
+fn storm(seed: u64, members: usize, toggles: ravenspar_view::FeatureToggles) -> Option<i64> {
     let mut fleet = Fleet::new(seed, members);
-    fleet.switches = switches;
+    fleet.toggles = toggles;
     fleet.seeds = vec![0, 1];
     fleet.start_all();
     fleet.run(3 * SECOND);
--- a/crates/view/tests/fleet/measure.rs
+++ b/crates/view/tests/fleet/measure.rs
@@ -70,8 +70,9 @@
         for seed in 0..100 {
             let (mut fleet, _) = settled(seed, 9).expect("the fleet settles");
             fleet.loss = loss;
-            let incarnations =
-                |fleet: &Fleet| fleet.live().iter().map(|&n| fleet.view(n).figures().lives).sum::<u64>();
+            let incarnations = |fleet: &Fleet| {
+                fleet.live().iter().map(|&n| fleet.view(n).metrics().incarnations).sum::<u64>()
+            };
             let before =
                 (incarnations(&fleet), fleet.sent.iter().sum::<u64>(), fleet.bytes.iter().sum::<u64>());
             fleet.run(4_000 * SECOND);
--- a/crates/view/tests/fleet/pauses.rs
+++ b/crates/view/tests/fleet/pauses.rs
@@ -55,9 +55,9 @@
     let all = fleet.live();
     assert!(fleet.until_agreed(&all, 30 * SECOND).is_some(), "{}", fleet.describe());
     fleet.run(5 * SECOND);
-    let figures = |fleet: &Fleet, n: usize| fleet.view(n).figures();
+    let metrics = |fleet: &Fleet, n: usize| fleet.view(n).metrics();
     let before: Vec<(u64, u64)> =
-        all.iter().map(|&n| (figures(&fleet, n).changes, figures(&fleet, n).lives)).collect();
+        all.iter().map(|&n| (metrics(&fleet, n).changes, metrics(&fleet, n).incarnations)).collect();
     let from = fleet.now;
     let (begin, end) = scenario.fault();
     let mut steps: Vec<(i64, Option<Pause>)> = pauses.iter().map(|pause| (pause.0, Some(*pause))).collect();
@@ -82,7 +82,7 @@
         }
     }
     fleet.run_until(from + end + 10 * SECOND);
-    let after = all.iter().map(|&n| (figures(&fleet, n).changes, figures(&fleet, n).lives));
+    let after = all.iter().map(|&n| (metrics(&fleet, n).changes, metrics(&fleet, n).incarnations));
     let counts = after.zip(&before).map(|(after, before)| (after.0 - before.0, after.1 - before.1)).collect();
     (counts, fleet.agree(&all))
 }
@@ -130,7 +130,7 @@
                     assert!(agree, "{what}");
                     let receiving =
                         counts.iter().take(if scenario == Scenario::CannotReceive { 8 } else { 9 });
-                    assert!(receiving.clone().all(|(_, lives)| *lives == 0), "{what}");
+                    assert!(receiving.clone().all(|(_, incarnations)| *incarnations == 0), "{what}");
                 }
             }
         }
--- a/crates/view/tests/fleet/wire.rs
+++ b/crates/view/tests/fleet/wire.rs
@@ -1,8 +1,8 @@
 //! Malformed and extreme bodies.
 
 use proptest::prelude::*;
-use ravenspar_view::show::{Page, Shown};
-use ravenspar_view::{Kind, Reach, Settings, State, View, MAX_BODY_LENGTH};
+use ravenspar_view::show::{MemberInfo, Page};
+use ravenspar_view::{ForwarderSummary, Kind, Settings, State, View, MAX_BODY_LENGTH};
 
 use crate::common::{address, SECOND};
 
@@ -40,12 +40,12 @@
 proptest! {
     #[test]
     fn a_page_reads_as_it_was_written(token: u32, index: u16, number: u32, digest: u64, flags in 0u8..16,
-        name in "[a-z]{1,32}", accusers in prop::collection::vec(any::<u64>(), 0..5), joined: u32, v6: bool) {
+        name in "[a-z]{1,32}", suspected_by in prop::collection::vec(any::<u64>(), 0..5), joined: u32, v6: bool) {
         let ip: std::net::IpAddr = if v6 { [7; 16].into() } else { [127, 0, 0, 1].into() };
-        let state = [State::In, State::Left, State::Gone][usize::from(flags) % 3];
-        let member = Shown {
-            name, life: digest ^ 7, address: (ip, index).into(), state, shown: flags & 1 != 0,
-            since_ms: number ^ token, accusers, reach: Reach { joined, digest },
+        let state = [State::Alive, State::Left, State::Gone][usize::from(flags) % 3];
+        let member = MemberInfo {
+            name, incarnation: digest ^ 7, address: (ip, index).into(), state, shown: flags & 1 != 0,
+            since_ms: number ^ token, suspected_by, forwarders: ForwarderSummary { joined, digest },
             view: (flags & 2 != 0).then_some((number, digest)),
         };
         let page = Page {
