--- a/crates/etcd/src/client.rs
+++ b/crates/etcd/src/client.rs
@@ -7,7 +7,7 @@
 use tonic::transport::{Channel, Endpoint};
 use tonic::{Code, Status};
 
-use ravenspar_store::Fault;
+use ravenspar_store::StoreError;
 
 use crate::api::kv_client::KvClient;
 use crate::api::lease_client::LeaseClient;
@@ -18,7 +18,7 @@
 
 /// Maps a status to an error. Some codes mean that the server did not carry out the call; any other may come after it took
 /// effect.
-pub(crate) fn store_error(status: &Status) -> Fault {
+pub(crate) fn store_error(status: &Status) -> StoreError {
     let why = format!("{}: {}", status.code(), status.message());
     match status.code() {
         Code::InvalidArgument
@@ -29,8 +29,8 @@
         | Code::FailedPrecondition
         | Code::OutOfRange
         | Code::Unimplemented
-        | Code::ResourceExhausted => Fault::Refused(why),
-        _ => Fault::Unknown(why),
+        | Code::ResourceExhausted => StoreError::Refused(why),
+        _ => StoreError::Unknown(why),
     }
 }
 
@@ -80,7 +80,7 @@
     }
 
     /// Makes the next call go to the next endpoint, though this one answered.
-    pub fn turn_away(&self) {
+    pub fn skip_endpoint(&self) {
         self.advance_endpoint();
     }
 
@@ -107,7 +107,7 @@
     }
 
     /// Makes a call that may be repeated, at most twice per endpoint.
-    async fn with_retries<T, F>(&self, call: impl Fn(Channel) -> F) -> Result<T, Fault>
+    async fn with_retries<T, F>(&self, call: impl Fn(Channel) -> F) -> Result<T, StoreError>
     where
         F: std::future::Future<Output = Result<T, Status>>,
     {
@@ -118,7 +118,7 @@
                 Err(status) => {
                     let error = store_error(&status);
                     attempt += 1;
-                    if matches!(error, Fault::Refused(_)) || attempt >= 2 * self.endpoints.len() as u32 {
+                    if matches!(error, StoreError::Refused(_)) || attempt >= 2 * self.endpoints.len() as u32 {
                         return Err(error);
                     }
                     self.advance_endpoint();
@@ -129,7 +129,7 @@
     }
 
     /// Reads keys; linearizable unless the request says otherwise.
-    pub async fn range(&self, request: RangeRequest) -> Result<RangeResponse, Fault> {
+    pub async fn range(&self, request: RangeRequest) -> Result<RangeResponse, StoreError> {
         self.with_retries(|channel| {
             let request = request.clone();
             async move { Ok(kv(channel).range(request).await?.into_inner()) }
@@ -138,7 +138,7 @@
     }
 
     /// Executes a transaction, without retries. See [`Client::commit`] if its outcome has to be known.
-    pub async fn txn(&self, request: TxnRequest) -> Result<TxnResponse, Fault> {
+    pub async fn txn(&self, request: TxnRequest) -> Result<TxnResponse, StoreError> {
         match kv(self.channel()).txn(request).await {
             Ok(response) => Ok(response.into_inner()),
             Err(status) => {
@@ -149,7 +149,7 @@
     }
 
     /// Executes a read-only transaction, with retries.
-    pub async fn read(&self, request: TxnRequest) -> Result<TxnResponse, Fault> {
+    pub async fn read(&self, request: TxnRequest) -> Result<TxnResponse, StoreError> {
         self.with_retries(|channel| {
             let request = request.clone();
             async move { Ok(kv(channel).txn(request).await?.into_inner()) }
@@ -159,7 +159,7 @@
 
     /// Creates a lease with an id that the caller drew at random, and returns its time to live in seconds. If a retry finds
     /// that the id exists, the earlier attempt created it.
-    pub async fn lease_grant(&self, id: i64, seconds: i64) -> Result<i64, Fault> {
+    pub async fn lease_grant(&self, id: i64, seconds: i64) -> Result<i64, StoreError> {
         let attempts = AtomicUsize::new(0);
         let attempts = &attempts;
         let granted = self
@@ -180,12 +180,12 @@
             .await?;
         match granted {
             (seconds, error) if error.is_empty() => Ok(seconds),
-            (_, error) => Err(Fault::Refused(error)),
+            (_, error) => Err(StoreError::Refused(error)),
         }
     }
 
     /// Ends a lease and deletes its keys. Succeeds if the lease is gone already.
-    pub async fn lease_revoke(&self, id: i64) -> Result<(), Fault> {
+    pub async fn lease_revoke(&self, id: i64) -> Result<(), StoreError> {
         self.with_retries(|channel| async move {
             match LeaseClient::new(channel).lease_revoke(LeaseRevokeRequest { id }).await {
                 Ok(_) => Ok(()),
@@ -198,7 +198,7 @@
 
     /// Renews a lease once and returns its time to live in seconds from when the server handled the call, or `None` if the
     /// lease is gone. The caller should count from when it made the call, which is earlier.
-    pub async fn keep_alive(&self, id: i64) -> Result<Option<i64>, Fault> {
+    pub async fn keep_alive(&self, id: i64) -> Result<Option<i64>, StoreError> {
         self.with_retries(|channel| async move {
             let requests = tokio_stream::iter([LeaseKeepAliveRequest { id }]);
             let mut responses = LeaseClient::new(channel).lease_keep_alive(requests).await?.into_inner();
--- a/crates/etcd/src/commit.rs
+++ b/crates/etcd/src/commit.rs
@@ -1,6 +1,6 @@
 //! Transactions whose outcome is resolved when the response is lost.
 
-use ravenspar_store::{at, put, Committed, Fault, Guarded, Range, Step};
+use ravenspar_store::{at, put, CommitOutcome, FencedTransaction, Range, Step, StoreError};
 
 use crate::api::response_op::Response;
 use crate::api::TxnRequest;
@@ -14,7 +14,11 @@
 impl Client {
     /// Commits a guarded transaction or makes sure that it never takes effect. Fails if it is rejected, or if its outcome is
     /// still unknown after `fences` attempts to find it out; the writer must then read the witness before it uses it again.
-    pub async fn commit(&self, transaction: &Guarded, fences: u32) -> Result<Committed, Fault> {
+    pub async fn commit(
+        &self,
+        transaction: &FencedTransaction,
+        fences: u32,
+    ) -> Result<CommitOutcome, StoreError> {
         let witness_unchanged = at(transaction.witness.clone(), transaction.revision);
         let compare = std::iter::once(&witness_unchanged).chain(&transaction.compare);
         let write_witness = put(transaction.witness.clone(), transaction.value.clone(), transaction.lease);
@@ -27,14 +31,14 @@
             Ok(response) => {
                 let revision = response.header.as_ref().map_or(0, |header| header.revision as u64);
                 if response.succeeded {
-                    return Ok(Committed::Yes { witness: revision });
+                    return Ok(CommitOutcome::Committed { witness: revision });
                 }
-                return Ok(Committed::No {
+                return Ok(CommitOutcome::Aborted {
                     witness: witness(&response.responses).map_or(0, |(revision, _)| revision),
                 });
             }
             // A rejected transaction had no effect, and no copy of it is in flight.
-            Err(Fault::Refused(why)) => return Err(Fault::Refused(why)),
+            Err(StoreError::Refused(why)) => return Err(StoreError::Refused(why)),
             Err(unknown) => unknown,
         };
         for fence in 0..fences {
@@ -49,7 +53,7 @@
 
     /// Writes the witness unless the transaction has: whichever of the two comes first, the other can't succeed. A fence may
     /// be repeated, as its value tells it from the transaction's.
-    async fn fence(&self, transaction: &Guarded, number: u32) -> Result<Committed, Fault> {
+    async fn fence(&self, transaction: &FencedTransaction, number: u32) -> Result<CommitOutcome, StoreError> {
         let value = [&transaction.value[..], format!(" fenced {number}").as_bytes()].concat();
         let request = TxnRequest {
             compare: vec![convert::compare(&at(transaction.witness.clone(), transaction.revision))],
@@ -59,13 +63,13 @@
         let response = self.txn(request).await?;
         if response.succeeded {
             let witness = response.header.map_or(0, |header| header.revision as u64);
-            return Ok(Committed::No { witness });
+            return Ok(CommitOutcome::Aborted { witness });
         }
         // The transaction or an earlier fence has written the witness. If it is gone, it had been written before.
         Ok(match witness(&response.responses) {
-            Some((witness, found)) if found == transaction.value => Committed::Yes { witness },
-            Some((witness, _)) => Committed::No { witness },
-            None => return Err(Fault::Unknown("the witness is gone, its lease with it".to_owned())),
+            Some((witness, found)) if found == transaction.value => CommitOutcome::Committed { witness },
+            Some((witness, _)) => CommitOutcome::Aborted { witness },
+            None => return Err(StoreError::Unknown("the witness is gone, its lease with it".to_owned())),
         })
     }
 }
--- a/crates/etcd/src/convert.rs
+++ b/crates/etcd/src/convert.rs
@@ -2,7 +2,8 @@
 
 use futures_util::future::BoxFuture;
 use ravenspar_store::{
-    Committed, Compare, CompareOp, Fault, Guarded, Operand, Page, Range, Read, Row, Step, Store,
+    CommitOutcome, Compare, CompareOp, FencedTransaction, Operand, Page, Range, Read, Row, Step, Store,
+    StoreError,
 };
 
 use crate::api;
@@ -73,7 +74,7 @@
 }
 
 impl Store for Client {
-    fn read(&self, ranges: Vec<Range>) -> BoxFuture<'_, Result<Read, Fault>> {
+    fn read(&self, ranges: Vec<Range>) -> BoxFuture<'_, Result<Read, StoreError>> {
         Box::pin(async move {
             let success = ranges.into_iter().map(|range| step(&Step::Read(range))).collect();
             let response = Client::read(self, TxnRequest { success, ..TxnRequest::default() }).await?;
@@ -87,7 +88,12 @@
         })
     }
 
-    fn page(&self, page_range: Range, limit: usize, revision: u64) -> BoxFuture<'_, Result<Page, Fault>> {
+    fn page(
+        &self,
+        page_range: Range,
+        limit: usize,
+        revision: u64,
+    ) -> BoxFuture<'_, Result<Page, StoreError>> {
         Box::pin(async move {
             let request =
                 RangeRequest { limit: limit as i64, revision: revision as i64, ..range(&page_range) };
@@ -99,25 +105,29 @@
         })
     }
 
-    fn commit(&self, transaction: Guarded, fences: u32) -> BoxFuture<'_, Result<Committed, Fault>> {
+    fn commit(
+        &self,
+        transaction: FencedTransaction,
+        fences: u32,
+    ) -> BoxFuture<'_, Result<CommitOutcome, StoreError>> {
         Box::pin(async move { Client::commit(self, &transaction, fences).await })
     }
 
-    fn grant(&self, lease: u64, seconds: u32) -> BoxFuture<'_, Result<u32, Fault>> {
+    fn grant(&self, lease: u64, seconds: u32) -> BoxFuture<'_, Result<u32, StoreError>> {
         Box::pin(async move {
             let seconds = self.lease_grant(lease as i64, i64::from(seconds)).await?;
             Ok(u32::try_from(seconds).unwrap_or(u32::MAX))
         })
     }
 
-    fn renew(&self, lease: u64) -> BoxFuture<'_, Result<Option<u32>, Fault>> {
+    fn renew(&self, lease: u64) -> BoxFuture<'_, Result<Option<u32>, StoreError>> {
         Box::pin(async move {
             let seconds = self.keep_alive(lease as i64).await?;
             Ok(seconds.map(|seconds| u32::try_from(seconds).unwrap_or(u32::MAX)))
         })
     }
 
-    fn revoke(&self, lease: u64) -> BoxFuture<'_, Result<(), Fault>> {
+    fn revoke(&self, lease: u64) -> BoxFuture<'_, Result<(), StoreError>> {
         Box::pin(async move { self.lease_revoke(lease as i64).await })
     }
 }
--- a/crates/etcd/src/lib.rs
+++ b/crates/etcd/src/lib.rs
@@ -10,7 +10,7 @@
 mod watch;
 
 pub use client::{check_endpoint, Client};
-pub use ravenspar_store::{prefix_end, Committed, Fault, Guarded};
+pub use ravenspar_store::{prefix_end, CommitOutcome, FencedTransaction, StoreError};
 pub use watch::Watch;
 
 /// The API's messages and services, generated from `proto/etcd.proto`.
--- a/crates/etcd/src/watch.rs
+++ b/crates/etcd/src/watch.rs
@@ -7,7 +7,7 @@
 use crate::api::watch_client::WatchClient;
 use crate::api::watch_request::RequestUnion;
 use crate::api::{WatchCreateRequest, WatchProgressRequest, WatchRequest, WatchResponse};
-use ravenspar_store::Fault;
+use ravenspar_store::StoreError;
 
 use crate::client::{store_error, Client};
 
@@ -25,7 +25,7 @@
 impl Client {
     /// Opens a watch at the current endpoint. If that fails, the next call uses the next endpoint; the caller says from which
     /// revision to continue.
-    pub async fn watch(&self, create: WatchCreateRequest) -> Result<Watch, Fault> {
+    pub async fn watch(&self, create: WatchCreateRequest) -> Result<Watch, StoreError> {
         let (requests, queue) = mpsc::channel(4);
         let create = WatchRequest { request_union: Some(RequestUnion::CreateRequest(create)) };
         // Can't fail: the queue is new.
@@ -41,7 +41,7 @@
             }
             Err(_) => {
                 self.advance_endpoint();
-                Err(Fault::Unknown("the watch was not opened in time".to_owned()))
+                Err(StoreError::Unknown("the watch was not opened in time".to_owned()))
             }
         }
     }
@@ -50,7 +50,7 @@
 impl Watch {
     /// Returns the next complete response, or `None` if the server closed the stream without an error. Cancellations, with
     /// their reason, and progress notifications (a header without events) are returned like any other.
-    pub async fn next(&mut self) -> Result<Option<WatchResponse>, Fault> {
+    pub async fn next(&mut self) -> Result<Option<WatchResponse>, StoreError> {
         loop {
             let Some(response) = self.responses.message().await.map_err(|status| store_error(&status))?
             else {
@@ -66,7 +66,7 @@
                 None => response,
             };
             if whole.events.len() > MAX_EVENTS {
-                return Err(Fault::Refused(format!("a response of more than {MAX_EVENTS} events")));
+                return Err(StoreError::Refused(format!("a response of more than {MAX_EVENTS} events")));
             }
             if more {
                 self.partial = Some(whole);
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -374,7 +374,7 @@
         let dir = tempfile::tempdir()?;
         std::fs::write(dir.path().join("steward.yaml"), settings(count, 1))?;
         list(dir.path(), 100, &[])?;
-        let failed = |fault: ravenspar_record::Fault| Fault::Failed(fault.to_string());
+        let failed = |fault: ravenspar_record::RecordError| Fault::Failed(fault.to_string());
         let record = Record::open(&dir.path().join("steward.redb")).map_err(failed)?;
         let row = |slice: usize| SliceRow {
             slice: slice as u32,
@@ -413,7 +413,7 @@
     print_line("| --- | --- | --- | --- | --- |");
     for (lines, rest) in [(1usize, 0), (10, 0), (100, 0), (1_000, 0), (10, 500)] {
         let dir = tempfile::tempdir()?;
-        let failed = |fault: ravenspar_record::Fault| Fault::Failed(fault.to_string());
+        let failed = |fault: ravenspar_record::RecordError| Fault::Failed(fault.to_string());
         let record = Record::open(&dir.path().join("steward.redb")).map_err(failed)?;
         let (began, mut commits, mut busy) = (Instant::now(), 0, Duration::ZERO);
         while began.elapsed() < Duration::from_secs(3) {
--- a/crates/lab/src/work/measure.rs
+++ b/crates/lab/src/work/measure.rs
@@ -7,7 +7,7 @@
 use ravenspar::print_line;
 use ravenspar_standin::effects::Call;
 use ravenspar_standin::{Time, SECOND};
-use ravenspar_store::{at, put, Hand};
+use ravenspar_store::{at, put, FencedWriter};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
@@ -268,9 +268,9 @@
     let failed = |why: String| Fault::Failed(why);
     let address = fleet.store.listen().await?;
     let client = ravenspar_etcd::Client::new(&[format!("http://{address}")], Duration::from_secs(2), 1);
-    let store: ravenspar_store::Shared = std::sync::Arc::new(client.map_err(failed)?);
+    let store: ravenspar_store::SharedStore = std::sync::Arc::new(client.map_err(failed)?);
     store.grant(77, 60).await.map_err(|fault| failed(fault.to_string()))?;
-    let mut hand = Hand::new(store, 77, b"floor/witness".to_vec());
+    let mut hand = FencedWriter::new(store, 77, b"floor/witness".to_vec());
     let (mut seen, began) = (0, Instant::now());
     for _ in 0..WRITES {
         let key = b"floor/line".to_vec();
--- a/crates/list/tests/follow.rs
+++ b/crates/list/tests/follow.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use proptest::prelude::*;
-use ravenspar_list::{Follower, Kept, Says, Stop};
+use ravenspar_list::{FollowError, FollowState, Follower, ListedServer};
 
 #[derive(Clone, Debug, PartialEq)]
 struct Server {
@@ -11,12 +11,12 @@
     leaves: bool,
 }
 
-impl Says for Server {
+impl ListedServer for Server {
     fn boot(&self) -> i64 {
         self.boot
     }
 
-    fn leaves(&self) -> bool {
+    fn is_leaving(&self) -> bool {
         self.leaves
     }
 }
@@ -30,7 +30,7 @@
 }
 
 fn follower() -> Follower<Server> {
-    Follower::new(Kept::default())
+    Follower::new(FollowState::default())
 }
 
 fn boots(follower: &Follower<Server>) -> Vec<(String, i64)> {
@@ -96,8 +96,8 @@
 fn undecodable_values_leave_the_known_ones() {
     let mut follower = follower();
     follower.event("a", 1, ready(1));
-    follower.unread("a", 4);
-    follower.unread("b", 5);
+    follower.undecodable("a", 4);
+    follower.undecodable("b", 5);
     assert_eq!((boots(&follower), follower.next()), (a(1), 6));
     follower.read_begin(7);
     follower.read_entry("a", 4, None);
@@ -109,13 +109,13 @@
 #[test]
 fn a_different_or_older_store_is_not_followed() {
     let mut follower = follower();
-    assert_eq!(follower.meets(7, 3), Ok(()));
+    assert_eq!(follower.check_store(7, 3), Ok(()));
     follower.event("a", 5, ready(1));
-    assert_eq!(follower.meets(7, 4), Err(Stop::Backward { known: 5, found: 4 }));
-    assert_eq!(follower.meets(8, 9), Err(Stop::Cluster { known: 7, found: 8 }));
+    assert_eq!(follower.check_store(7, 4), Err(FollowError::Backward { known: 5, found: 4 }));
+    assert_eq!(follower.check_store(8, 9), Err(FollowError::Cluster { known: 7, found: 8 }));
     // Nor after a restart.
-    let mut next: Follower<Server> = Follower::new(follower.kept().clone());
-    assert!(next.meets(7, 4).is_err());
+    let mut next: Follower<Server> = Follower::new(follower.state().clone());
+    assert!(next.check_store(7, 4).is_err());
 }
 
 #[derive(Clone, Debug)]
@@ -150,7 +150,7 @@
                     let server = server.map(|(boot, leaves)| Server { boot, leaves });
                     follower.event(&id.to_string(), at, server);
                 }
-                Step::Undecodable(id, at) => follower.unread(&id.to_string(), at),
+                Step::Undecodable(id, at) => follower.undecodable(&id.to_string(), at),
                 Step::Read(at, all) => {
                     follower.read_begin(at);
                     for (id, entry, boot, leaves) in all {
@@ -158,14 +158,14 @@
                     }
                     follower.read_end();
                 }
-                Step::Restart => follower = Follower::new(follower.kept().clone()),
+                Step::Restart => follower = Follower::new(follower.state().clone()),
             }
-            prop_assert!(follower.kept().revision >= revision);
-            revision = follower.kept().revision;
+            prop_assert!(follower.state().revision >= revision);
+            revision = follower.state().revision;
             for (id, boot) in &retired {
-                prop_assert!(follower.kept().retired.get(id).is_some_and(|now| now >= boot));
+                prop_assert!(follower.state().retired.get(id).is_some_and(|now| now >= boot));
             }
-            retired = follower.kept().retired.clone();
+            retired = follower.state().retired.clone();
             for (id, server) in follower.list() {
                 prop_assert!(retired.get(id).is_none_or(|retired| server.boot > *retired), "{} came back", id);
             }
--- a/crates/ravenspar/src/cli.rs
+++ b/crates/ravenspar/src/cli.rs
@@ -232,7 +232,7 @@
 /// Calls the shared store from a new runtime.
 fn call_store<T>(
     share: &settings::Share,
-    call: impl AsyncFnOnce(&dyn ravenspar_store::Store, &shared::Keys) -> Result<T, ravenspar_store::Fault>,
+    call: impl AsyncFnOnce(&dyn ravenspar_store::Store, &shared::Keys) -> Result<T, ravenspar_store::StoreError>,
 ) -> Result<T, CommandError> {
     runtime()?.block_on(async {
         let client =
@@ -336,7 +336,7 @@
     let cfg = load(file)?;
     share_settings(&cfg, file)?;
     let record = Record::open(&cfg.record).map_err(|error| CommandError::InvalidInput(error.to_string()))?;
-    record.see(None).map_err(|error| CommandError::Failed(error.to_string()))?;
+    record.save_store_position(None).map_err(|error| CommandError::Failed(error.to_string()))?;
     print_line(format_args!("{}: whatever store is there next is taken", cfg.record.display()));
     Ok(())
 }
@@ -347,7 +347,7 @@
         return Err(CommandError::InvalidInput(format!("{}: expected list.source: etcd", file.display())));
     }
     let record = Record::open(&cfg.record).map_err(|error| CommandError::InvalidInput(error.to_string()))?;
-    record.unfollow().map_err(|error| CommandError::Failed(error.to_string()))?;
+    record.forget_list_position().map_err(|error| CommandError::Failed(error.to_string()))?;
     print_line(format_args!("{}: whatever list is there next is followed", cfg.record.display()));
     Ok(())
 }
--- a/crates/ravenspar/src/list.rs
+++ b/crates/ravenspar/src/list.rs
@@ -15,7 +15,7 @@
     /// The complete list.
     Complete(Vec<ServerRow>),
     /// The state of following a list with revisions, to be recorded durably; the list it belongs to comes next.
-    FollowState(ravenspar_list::Kept),
+    FollowState(ravenspar_list::FollowState),
     /// The list could not be read; the last good list stays in use.
     Failed(String),
 }
--- a/crates/ravenspar/src/list_store.rs
+++ b/crates/ravenspar/src/list_store.rs
@@ -6,7 +6,7 @@
 use ravenspar_etcd::api::event::EventType;
 use ravenspar_etcd::api::{KeyValue, RangeRequest, WatchCreateRequest, WatchResponse};
 use ravenspar_etcd::{prefix_end, Client};
-use ravenspar_list::{Follower, Kept, Says, Stop};
+use ravenspar_list::{FollowError, FollowState, Follower, ListedServer};
 use ravenspar_record::ServerRow;
 use ravenspar_steward::from_seconds;
 use serde::Deserialize;
@@ -19,7 +19,7 @@
 pub struct EtcdList {
     pub client: Arc<Client>,
     pub prefix: String,
-    pub kept: Kept,
+    pub kept: FollowState,
     /// Ends the wait before the next attempt.
     pub refresh: Arc<Notify>,
     pub seed: u64,
@@ -52,12 +52,12 @@
 #[derive(Clone, PartialEq)]
 struct ServerEntry(ServerRow);
 
-impl Says for ServerEntry {
+impl ListedServer for ServerEntry {
     fn boot(&self) -> i64 {
         self.0.boot
     }
 
-    fn leaves(&self) -> bool {
+    fn is_leaving(&self) -> bool {
         self.0.health != 0
     }
 }
@@ -67,7 +67,7 @@
     /// The receiver of the notifications is closed.
     ReceiverClosed,
     /// The store is not the one that was followed; only an operator can accept it.
-    Stop(Stop),
+    FollowError(FollowError),
     /// Another attempt may succeed.
     Failed(String),
 }
@@ -105,7 +105,7 @@
             let before = self.follower.next();
             let why = match self.read_and_watch().await {
                 Interruption::ReceiverClosed => return,
-                Interruption::Stop(stop) => {
+                Interruption::FollowError(stop) => {
                     let why = format!(
                         "{stop:?}: the list is not followed any more; `ravenspar list accept` accepts the store"
                     );
@@ -180,7 +180,7 @@
                 }
                 _ = progress_timer.tick() => {
                     if last_received.elapsed() > 3 * PROGRESS_INTERVAL {
-                        self.client.turn_away();
+                        self.client.skip_endpoint();
                         return Interruption::Failed("the store sends nothing on the watch".to_owned());
                     }
                     watch.ask_progress();
@@ -225,18 +225,18 @@
 
     /// Checks the cluster and the revision of a response. After one that is older than was seen, another member is asked.
     fn check_revision(&mut self, cluster: u64, revision: i64) -> Result<(), Interruption> {
-        match self.follower.meets(cluster, revision) {
+        match self.follower.check_store(cluster, revision) {
             Ok(()) => {
                 self.stale_responses = 0;
                 Ok(())
             }
-            Err(stop @ Stop::Cluster { .. }) => Err(Interruption::Stop(stop)),
-            Err(stop @ Stop::Backward { .. }) => {
+            Err(stop @ FollowError::Cluster { .. }) => Err(Interruption::FollowError(stop)),
+            Err(stop @ FollowError::Backward { .. }) => {
                 self.stale_responses += 1;
-                self.client.turn_away();
+                self.client.skip_endpoint();
                 // Two stale responses per member mean that the store itself is older, not just a member that lags.
                 if self.stale_responses >= 2 * self.client.endpoints() as u32 {
-                    return Err(Interruption::Stop(stop));
+                    return Err(Interruption::FollowError(stop));
                 }
                 Err(Interruption::Failed(format!("a member lags: {stop:?}")))
             }
@@ -261,7 +261,7 @@
             let Some(kv) = event.kv else { continue };
             let Some(id) = self.id(&kv) else { continue };
             match (put, parse_entry(&kv, &id).filter(|_| put)) {
-                (true, None) => self.follower.unread(&id, kv.mod_revision),
+                (true, None) => self.follower.undecodable(&id, kv.mod_revision),
                 (_, entry) => self.follower.event(&id, kv.mod_revision, entry),
             }
         }
@@ -280,7 +280,7 @@
         if !self.follower.take_change() && !force {
             return !self.notifications.is_closed();
         }
-        let state = Notification::FollowState(self.follower.kept().clone());
+        let state = Notification::FollowState(self.follower.state().clone());
         let rows = self.follower.list().map(|(_, row)| row.0.clone()).collect();
         self.notifications.send(state).await.is_ok()
             && self.notifications.send(Notification::Complete(rows)).await.is_ok()
--- a/crates/ravenspar/src/recorder.rs
+++ b/crates/ravenspar/src/recorder.rs
@@ -19,7 +19,7 @@
     },
     List(Vec<ServerRow>),
     /// The state of following a list with revisions; written before the list it belongs to.
-    FollowState(ravenspar_list::Kept),
+    FollowState(ravenspar_list::FollowState),
     /// Cluster and revision last seen of the shared store.
     Seen(u64, u64),
 }
@@ -29,7 +29,7 @@
 pub struct Gathered {
     pub slices: Vec<SliceRow>,
     pub list: Option<Vec<ServerRow>>,
-    pub followed: Option<ravenspar_list::Kept>,
+    pub followed: Option<ravenspar_list::FollowState>,
     pub seen: Option<(u64, u64)>,
 }
 
@@ -63,12 +63,12 @@
 }
 
 /// Writes all updates, the follow state before its list.
-fn write_all(record: &Record, gathered: &Gathered) -> Result<(), ravenspar_record::Fault> {
+fn write_all(record: &Record, gathered: &Gathered) -> Result<(), ravenspar_record::RecordError> {
     if let Some(seen) = gathered.seen {
-        record.see(Some(seen))?;
+        record.save_store_position(Some(seen))?;
     }
     if let Some(state) = &gathered.followed {
-        record.follow(state.cluster, state.revision, &state.retired)?;
+        record.save_list_state(state.cluster, state.revision, &state.retired)?;
     }
     if gathered.slices.is_empty() && gathered.list.is_none() {
         return Ok(());
@@ -86,7 +86,7 @@
     /// The last ticket of the queued slices.
     ticket: Option<u64>,
     list: Option<Vec<ServerRow>>,
-    followed: Option<ravenspar_list::Kept>,
+    followed: Option<ravenspar_list::FollowState>,
     seen: Option<(u64, u64)>,
     /// Set once no more updates follow.
     closed: bool,
--- a/crates/ravenspar/src/serve.rs
+++ b/crates/ravenspar/src/serve.rs
@@ -43,7 +43,7 @@
 ) -> Result<(), CommandError> {
     let record = Record::open(&cfg.record).map_err(|error| CommandError::InvalidInput(error.to_string()))?;
     let contents = record.contents().map_err(|error| CommandError::Failed(error.to_string()))?;
-    let seen = record.seen().map_err(|error| CommandError::Failed(error.to_string()))?;
+    let seen = record.store_position().map_err(|error| CommandError::Failed(error.to_string()))?;
     let term = match cfg.share {
         None => record.next_term().map_err(|error| CommandError::Failed(error.to_string()))?,
         Some(_) => 0,
@@ -57,9 +57,9 @@
     match &cfg.list_store {
         None => ListFile { path: cfg.list.clone(), refresh: refresh_list.clone() }.follow(notifications),
         Some(store) => {
-            let followed = record.followed().map_err(|error| CommandError::Failed(error.to_string()))?;
+            let followed = record.list_state().map_err(|error| CommandError::Failed(error.to_string()))?;
             let (cluster, revision, retired) = followed.unwrap_or_default();
-            let kept = ravenspar_list::Kept { cluster, revision, retired };
+            let kept = ravenspar_list::FollowState { cluster, revision, retired };
             let client = ravenspar_etcd::Client::new(&store.endpoints, store.call_within, cfg.seed);
             let client = std::sync::Arc::new(client.map_err(CommandError::InvalidInput)?);
             let (prefix, seed) = (store.prefix.clone(), cfg.seed ^ u64::from(std::process::id()));
@@ -162,7 +162,8 @@
         cfg.seed ^ process.clock.now() as u64 ^ (u64::from(std::process::id()) << 40),
     );
     let client = ravenspar_etcd::Client::new(&share.endpoints, share.call_within, rng.u64(..));
-    let store: ravenspar_store::Shared = std::sync::Arc::new(client.map_err(CommandError::InvalidInput)?);
+    let store: ravenspar_store::SharedStore =
+        std::sync::Arc::new(client.map_err(CommandError::InvalidInput)?);
     let keys = Keys::new(&share.prefix);
     let joining = Joining {
         store,
--- a/crates/ravenspar/src/shared/session.rs
+++ b/crates/ravenspar/src/shared/session.rs
@@ -10,12 +10,12 @@
 use ravenspar_sharing::membership::Membership;
 use ravenspar_sharing::{Fleet, Step};
 use ravenspar_steward::{Time, SECOND};
-use ravenspar_store::Shared;
+use ravenspar_store::SharedStore;
 use tokio::sync::{mpsc, watch, Mutex, Notify};
 use tokio::task::AbortHandle;
 
 use super::rows::{Keys, Member};
-use super::store::{record, snapshot, MemberWriter, Snapshot, Stop};
+use super::store::{record, snapshot, MemberWriter, Snapshot, WriteError};
 use crate::halt::Halt;
 use crate::recorder::{Gathered, Keep, Recorder};
 use crate::settings::{Debts, Jobs, Share};
@@ -74,7 +74,7 @@
 #[derive(Clone)]
 pub struct Joining {
     pub share: Share,
-    pub store: Shared,
+    pub store: SharedStore,
     pub keys: Keys,
     pub clock: Clock,
     pub slices: usize,
@@ -123,8 +123,8 @@
     async fn write(&mut self, gathered: Gathered) -> Result<(), String> {
         let written = self.0.lock().await.write_records(&gathered.slices).await;
         written.map_err(|stop| match stop {
-            Stop::Not => "a slice to be recorded is assigned to another steward".to_owned(),
-            Stop::Over(why) => why,
+            WriteError::ConditionFailed => "a slice to be recorded is assigned to another steward".to_owned(),
+            WriteError::Fatal(why) => why,
         })
     }
 }
@@ -316,8 +316,8 @@
                 Step::Left | Step::Lost => Ok(()),
             };
             let event = match result {
-                Ok(()) | Err(Stop::Not) => Event::Done,
-                Err(Stop::Over(why)) => Event::Over(why),
+                Ok(()) | Err(WriteError::ConditionFailed) => Event::Done,
+                Err(WriteError::Fatal(why)) => Event::Over(why),
             };
             let _ = events.send(event).await;
         });
@@ -340,7 +340,7 @@
         let (writer, events) = (self.writer.clone(), self.events.clone());
         let member = self.member.clone();
         self.start_task("a word to the store", async move {
-            if let Err(Stop::Over(why)) = writer.lock().await.write_member(&member).await {
+            if let Err(WriteError::Fatal(why)) = writer.lock().await.write_member(&member).await {
                 let _ = events.send(Event::Over(why)).await;
             }
         });
@@ -364,7 +364,7 @@
     writer: &Mutex<MemberWriter>,
     joining: &Joining,
     events: &mpsc::Sender<Event>,
-) -> Result<(), Stop> {
+) -> Result<(), WriteError> {
     let chunk_len = MemberWriter::MAX_SLICES.saturating_sub(gone.len()).max(1);
     // Slices that were never assigned go apart, as no forwarders hold leases on them.
     for never_assigned in [false, true] {
@@ -387,7 +387,7 @@
     from: From,
     joining: &Joining,
     events: &mpsc::Sender<Event>,
-) -> Result<(), Stop> {
+) -> Result<(), WriteError> {
     let (Some(&(first, _)), Some(&(last, _))) = (slices.first(), slices.last()) else { return Ok(()) };
     let mut rows = record(&*joining.store, &joining.keys, first, last).await?;
     rows.retain(|row| slices.binary_search_by_key(&(row.slice as usize), |&(slice, _)| slice).is_ok());
@@ -401,7 +401,7 @@
     to: u64,
     writer: &Mutex<MemberWriter>,
     events: &mpsc::Sender<Event>,
-) -> Result<(), Stop> {
+) -> Result<(), WriteError> {
     for slices in slices.chunks(MemberWriter::MAX_SLICES) {
         let term = writer.lock().await.hand_over(slices, to).await?;
         let _ = events.send(Event::Gave { slices: slices.to_vec(), to, term }).await;
--- a/crates/ravenspar/src/shared/store.rs
+++ b/crates/ravenspar/src/shared/store.rs
@@ -1,11 +1,11 @@
 //! A steward's reads and transactions at the shared store.
 
-use ravenspar_list::Stop as HistoryError;
+use ravenspar_list::FollowError as HistoryError;
 use ravenspar_record::SliceRow;
 use ravenspar_sharing::Incarnation;
-use ravenspar_store::{at, put, there, under, Fault, Range, Row, Shared, Store, MOST};
+use ravenspar_store::{at, exists, prefix_range, put, Range, Row, SharedStore, Store, StoreError, MAX_STEPS};
 
-pub use ravenspar_store::Stop;
+pub use ravenspar_store::WriteError;
 
 use super::rows::{decode_incarnation, decode_slice, encode_incarnation, encode_slice, Keys, Member};
 
@@ -26,8 +26,9 @@
 }
 
 /// Reads all members and the assignments that changed since a revision, at one revision.
-pub async fn snapshot(store: &dyn Store, keys: &Keys, since: u64) -> Result<Snapshot, Fault> {
-    let read = store.read(vec![under(keys.members(), 0), under(keys.assignments(), since)]).await?;
+pub async fn snapshot(store: &dyn Store, keys: &Keys, since: u64) -> Result<Snapshot, StoreError> {
+    let read =
+        store.read(vec![prefix_range(keys.members(), 0), prefix_range(keys.assignments(), since)]).await?;
     let mut snapshot = Snapshot { cluster: read.cluster, revision: read.revision, ..Snapshot::default() };
     let mut ranges = read.ranges.into_iter();
     let mut next = || ranges.next().unwrap_or_default();
@@ -54,16 +55,16 @@
     keys: &Keys,
     first: usize,
     last: usize,
-) -> Result<Vec<SliceRow>, Fault> {
+) -> Result<Vec<SliceRow>, StoreError> {
     let end = [&keys.slice(last)[..], &[0]].concat();
-    let (_, rows) = ravenspar_store::all(store, Range { key: keys.slice(first), end, since: 0 }).await?;
-    rows.iter().map(|row| decode_slice(&row.key, &row.value).map_err(Fault::Refused)).collect()
+    let (_, rows) = ravenspar_store::read_all(store, Range { key: keys.slice(first), end, since: 0 }).await?;
+    rows.iter().map(|row| decode_slice(&row.key, &row.value).map_err(StoreError::Refused)).collect()
 }
 
 /// The fenced writer of one incarnation: all its writes to members and slices go through here, in order, and none
 /// takes effect once its lease has ended at the store.
 pub struct MemberWriter {
-    writer: ravenspar_store::Hand,
+    writer: ravenspar_store::FencedWriter,
     keys: Keys,
     incarnation: Incarnation,
 }
@@ -72,31 +73,31 @@
     /// Joins as a member under the incarnation's lease, which has just been granted. Returns the revision as its
     /// term.
     pub async fn join(
-        store: Shared,
+        store: SharedStore,
         keys: Keys,
         incarnation: Incarnation,
         member: &Member,
-    ) -> Result<(MemberWriter, u64), Stop> {
-        let writer = ravenspar_store::Hand::new(store, incarnation, keys.witness(incarnation));
+    ) -> Result<(MemberWriter, u64), WriteError> {
+        let writer = ravenspar_store::FencedWriter::new(store, incarnation, keys.witness(incarnation));
         let mut writer = MemberWriter { writer, keys, incarnation };
         let term = writer.put_member(member).await?;
         Ok((writer, term))
     }
 
     /// Rewrites the member's entry, for instance as it is leaving and no slices are to be handed over to it.
-    pub async fn write_member(&mut self, member: &Member) -> Result<(), Stop> {
+    pub async fn write_member(&mut self, member: &Member) -> Result<(), WriteError> {
         self.put_member(member).await.map(|_| ())
     }
 
-    async fn put_member(&mut self, member: &Member) -> Result<u64, Stop> {
+    async fn put_member(&mut self, member: &Member) -> Result<u64, WriteError> {
         let row = serde_json::to_vec(member).unwrap_or_default();
         let then = vec![put(self.keys.member(self.incarnation), row, self.incarnation)];
         self.writer.commit(Vec::new(), then).await
     }
 
     /// Writes records of slices, each on condition that the slice's assignment still has the record's term.
-    pub async fn write_records(&mut self, rows: &[SliceRow]) -> Result<(), Stop> {
-        for rows in rows.chunks(MOST) {
+    pub async fn write_records(&mut self, rows: &[SliceRow]) -> Result<(), WriteError> {
+        for rows in rows.chunks(MAX_STEPS) {
             let compare =
                 rows.iter().map(|row| at(self.keys.assignment(row.slice as usize), row.term)).collect();
             let then = rows.iter().map(|row| put(self.keys.slice(row.slice as usize), encode_slice(row), 0));
@@ -108,14 +109,14 @@
 
     /// Takes slices over, on condition that each assignment still has this term and that the members in `gone` are
     /// absent from the store. Returns the new term.
-    pub async fn take(&mut self, slices: &[(usize, u64)], gone: &[Incarnation]) -> Result<u64, Stop> {
+    pub async fn take(&mut self, slices: &[(usize, u64)], gone: &[Incarnation]) -> Result<u64, WriteError> {
         let absent = gone.iter().map(|&incarnation| at(self.keys.member(incarnation), 0)).collect();
         self.assign(slices, absent, self.incarnation).await
     }
 
     /// Hands slices over to a member, on condition that it is still there. Returns the new term.
-    pub async fn hand_over(&mut self, slices: &[(usize, u64)], to: Incarnation) -> Result<u64, Stop> {
-        let present = vec![there(self.keys.member(to))];
+    pub async fn hand_over(&mut self, slices: &[(usize, u64)], to: Incarnation) -> Result<u64, WriteError> {
+        let present = vec![exists(self.keys.member(to))];
         self.assign(slices, present, to).await
     }
 
@@ -124,7 +125,7 @@
         slices: &[(usize, u64)],
         mut compare: Vec<ravenspar_store::Compare>,
         to: Incarnation,
-    ) -> Result<u64, Stop> {
+    ) -> Result<u64, WriteError> {
         compare.extend(slices.iter().map(|&(slice, term)| at(self.keys.assignment(slice), term)));
         let then = slices
             .iter()
@@ -134,7 +135,7 @@
     }
 
     /// Limit of slices in one call to [`MemberWriter::take`] or [`MemberWriter::hand_over`].
-    pub const MAX_SLICES: usize = MOST;
+    pub const MAX_SLICES: usize = MAX_STEPS;
 }
 
 /// Returns an error message if a snapshot can't follow on the last seen cluster and revision, as it is of another
@@ -142,7 +143,7 @@
 pub fn backward(snapshot: &Snapshot, seen: Option<(u64, u64)>) -> Option<String> {
     let (cluster, revision) = seen?;
     let found = (snapshot.cluster, snapshot.revision as i64);
-    let error = ravenspar_list::follows((cluster, revision as i64), found).err()?;
+    let error = ravenspar_list::check_continuity((cluster, revision as i64), found).err()?;
     let found_store = match error {
         HistoryError::Cluster { .. } => "another store",
         HistoryError::Backward { .. } => "an older store",
@@ -156,8 +157,12 @@
 }
 
 /// Adds the leaders of duties and the number of sites to a snapshot, for display.
-pub async fn with_duties(store: &dyn Store, keys: &Keys, mut snapshot: Snapshot) -> Result<Snapshot, Fault> {
-    let read = store.read(vec![under(keys.duties(), 0), under(keys.sites(), 0)]).await?;
+pub async fn with_duties(
+    store: &dyn Store,
+    keys: &Keys,
+    mut snapshot: Snapshot,
+) -> Result<Snapshot, StoreError> {
+    let read = store.read(vec![prefix_range(keys.duties(), 0), prefix_range(keys.sites(), 0)]).await?;
     let duty =
         |row: &Row| Some((Keys::last(&row.key)?.to_owned(), decode_incarnation(&row.value)?, row.modified));
     snapshot.duties = read.ranges.first().into_iter().flatten().filter_map(duty).collect();
--- a/crates/ravenspar/src/work/agents.rs
+++ b/crates/ravenspar/src/work/agents.rs
@@ -5,7 +5,7 @@
 use ravenspar_protocol::VERSION;
 use ravenspar_sharing::Incarnation;
 use ravenspar_steward::SECOND;
-use ravenspar_store::{Hand, Shared};
+use ravenspar_store::{FencedWriter, SharedStore};
 
 use crate::shared::Keys;
 
@@ -60,7 +60,7 @@
     }
 
     /// Starts a call to the store on behalf of an agent; dropped if too many are in flight, as agents ask again.
-    pub(super) fn spawn_call<F>(&mut self, call: impl FnOnce(Shared, Keys) -> F)
+    pub(super) fn spawn_call<F>(&mut self, call: impl FnOnce(SharedStore, Keys) -> F)
     where
         F: std::future::Future<Output = Option<Event>> + Send + 'static,
     {
@@ -128,7 +128,7 @@
 
 /// Creates a site's lease and key, unless another steward has done so.
 async fn register(
-    store: Shared,
+    store: SharedStore,
     keys: Keys,
     stream: u64,
     site: Hello,
@@ -141,7 +141,7 @@
     // The witness is bound to the site's lease, as a site's key doesn't depend on a steward's membership.
     let witness = keys.work_witness(incarnation, &format!("{steward:016x}"));
     let row = rows::encode(&rows::SiteRecord { name, room, boot });
-    let mut writer = Hand::new(store, incarnation, witness);
+    let mut writer = FencedWriter::new(store, incarnation, witness);
     let key = keys.site(incarnation);
     let put = vec![ravenspar_store::put(key.clone(), row, incarnation)];
     let _ = writer.commit(vec![ravenspar_store::at(key, 0)], put).await;
@@ -149,7 +149,7 @@
 }
 
 /// Revokes the leases of sites' incarnations that have reported their end.
-async fn revoke_leases(store: Shared, _keys: Keys, incarnations: Vec<Incarnation>) -> Option<Event> {
+async fn revoke_leases(store: SharedStore, _keys: Keys, incarnations: Vec<Incarnation>) -> Option<Event> {
     for incarnation in incarnations {
         // If this fails, the lease expires by itself.
         let _ = store.revoke(incarnation).await;
--- a/crates/ravenspar/src/work/executors.rs
+++ b/crates/ravenspar/src/work/executors.rs
@@ -5,7 +5,7 @@
 use ravenspar_duty::{Duty, Step, Warrant};
 use ravenspar_jobs::{Ended, Line, State, Token, Write};
 use ravenspar_net::Clock;
-use ravenspar_store::{at, delete, put, there, Compare, Hand, Range, Shared, Stop};
+use ravenspar_store::{at, delete, exists, put, Compare, FencedWriter, Range, SharedStore, WriteError};
 use tokio::sync::mpsc;
 
 use super::rows::{self, OutcomeRecord, Reachability};
@@ -31,7 +31,7 @@
 
 /// Executes duty commands one at a time.
 pub struct DutyExecutor {
-    pub writer: Hand,
+    pub writer: FencedWriter,
     pub keys: Keys,
     pub incarnation: u64,
     pub clock: Clock,
@@ -68,7 +68,7 @@
                         self.writer.commit(vec![at(key, 0)], then).await
                     }
                     Step::Give { term, to, .. } => {
-                        let compare = vec![at(key.clone(), term), there(self.keys.member(to))];
+                        let compare = vec![at(key.clone(), term), exists(self.keys.member(to))];
                         self.writer.commit(compare, vec![put(key, encode_incarnation(to), to)]).await
                     }
                 };
@@ -80,7 +80,7 @@
                 let mut site_conditions: Vec<Compare> = writes
                     .iter()
                     .flat_map(|write| {
-                        let present = write.there.map(|site| there(self.keys.site(site)));
+                        let present = write.there.map(|site| exists(self.keys.site(site)));
                         let absent = write.gone.map(|site| at(self.keys.site(site), 0));
                         present.into_iter().chain(absent)
                     })
@@ -143,8 +143,10 @@
         permit: Warrant,
         mut compare: Vec<Compare>,
         then: Vec<ravenspar_store::Step>,
-    ) -> Result<u64, Stop> {
-        let Some((duty, term)) = permit.leaves(self.clock.now()) else { return Err(Stop::Not) };
+    ) -> Result<u64, WriteError> {
+        let Some((duty, term)) = permit.leaves(self.clock.now()) else {
+            return Err(WriteError::ConditionFailed);
+        };
         compare.push(at(self.keys.duty(self.duty_name(duty)), term));
         Halt::meet(&mut self.failpoint, Point::Effect);
         let committed = self.writer.commit(compare, then).await;
@@ -159,11 +161,11 @@
 
 /// Returns the event for a transaction: with its revision if it was committed and without one if a condition failed.
 /// If its outcome is unknown, the incarnation has to end.
-fn commit_event(committed: Result<u64, Stop>, event: impl FnOnce(Option<u64>) -> Event) -> Event {
+fn commit_event(committed: Result<u64, WriteError>, event: impl FnOnce(Option<u64>) -> Event) -> Event {
     match committed {
         Ok(revision) => event(Some(revision)),
-        Err(Stop::Not) => event(None),
-        Err(Stop::Over(why)) => Event::Terminated(why),
+        Err(WriteError::ConditionFailed) => event(None),
+        Err(WriteError::Fatal(why)) => Event::Terminated(why),
     }
 }
 
@@ -190,20 +192,20 @@
 
 /// Executes the requests made for agents, in batches.
 pub struct AgentExecutor {
-    pub writer: Hand,
-    pub store: Shared,
+    pub writer: FencedWriter,
+    pub store: SharedStore,
     pub keys: Keys,
     pub events: mpsc::Sender<Event>,
 }
 
 impl AgentExecutor {
     pub fn start(mut self) -> (mpsc::Sender<AgentRequest>, tokio::task::AbortHandle) {
-        let (requests, mut queue) = mpsc::channel(ravenspar_store::MOST * 4);
+        let (requests, mut queue) = mpsc::channel(ravenspar_store::MAX_STEPS * 4);
         let events = self.events.clone();
         let task = async move {
             let mut waiting = Vec::new();
             // Waiting requests are executed as a batch; each takes three of a transaction's operations at most.
-            while queue.recv_many(&mut waiting, ravenspar_store::MOST / 3).await > 0 {
+            while queue.recv_many(&mut waiting, ravenspar_store::MAX_STEPS / 3).await > 0 {
                 for event in self.execute(std::mem::take(&mut waiting)).await {
                     if self.events.send(event).await.is_err() {
                         return;
@@ -226,23 +228,23 @@
             }
         }
         let mut events = self.read(reads).await;
-        for chunk in uses.chunks(ravenspar_store::MOST / 3) {
+        for chunk in uses.chunks(ravenspar_store::MAX_STEPS / 3) {
             match self.write_uses(chunk).await {
                 Ok(counted) => events.push(Event::Counted(counted)),
-                Err(Stop::Over(why)) => events.push(Event::Terminated(why)),
+                Err(WriteError::Fatal(why)) => events.push(Event::Terminated(why)),
                 // Another steward has written one of them, or the store does not answer: they are written again.
-                Err(Stop::Not) => events.push(Event::Counted(Vec::new())),
+                Err(WriteError::ConditionFailed) => events.push(Event::Counted(Vec::new())),
             }
         }
         match self.write_outcomes(&outcomes).await {
             Ok(()) => events.extend(outcomes.into_iter().map(|(job, ..)| Event::Settled { job, done: true })),
-            Err(Stop::Over(why)) => events.push(Event::Terminated(why)),
+            Err(WriteError::Fatal(why)) => events.push(Event::Terminated(why)),
             // A line has changed since it was read: each outcome is tried on its own.
-            Err(Stop::Not) => {
+            Err(WriteError::ConditionFailed) => {
                 for outcome in outcomes {
                     let written = self.write_outcomes(std::slice::from_ref(&outcome)).await;
                     match written {
-                        Err(Stop::Over(why)) => events.push(Event::Terminated(why)),
+                        Err(WriteError::Fatal(why)) => events.push(Event::Terminated(why)),
                         written => events.push(Event::Settled { job: outcome.0, done: written.is_ok() }),
                     }
                 }
@@ -288,7 +290,10 @@
     }
 
     /// Writes outcomes and their lines in one transaction.
-    async fn write_outcomes(&mut self, outcomes: &[(String, u64, Line, Token, Ended)]) -> Result<(), Stop> {
+    async fn write_outcomes(
+        &mut self,
+        outcomes: &[(String, u64, Line, Token, Ended)],
+    ) -> Result<(), WriteError> {
         if outcomes.is_empty() {
             return Ok(());
         }
@@ -313,12 +318,14 @@
 
     /// Merges uses with their entries in the store. Returns those that are stored now or were before; a use of a
     /// deleted job is dropped and returned as well.
-    async fn write_uses(&mut self, reported: &[ReportedUse]) -> Result<Vec<(Key, u64)>, Stop> {
+    async fn write_uses(&mut self, reported: &[ReportedUse]) -> Result<Vec<(Key, u64)>, WriteError> {
         let range = |key: Vec<u8>| Range { key, end: Vec::new(), since: 0 };
         let ranges = reported.iter().flat_map(|use_| {
             [range(self.keys.use_of(use_.token, &use_.job)), range(self.keys.job(&use_.job))]
         });
-        let Ok(read) = self.store.read(ranges.collect()).await else { return Err(Stop::Not) };
+        let Ok(read) = self.store.read(ranges.collect()).await else {
+            return Err(WriteError::ConditionFailed);
+        };
         let (mut compare, mut then, mut counted) = (Vec::new(), Vec::new(), Vec::new());
         let mut found = read.ranges.into_iter().map(|rows| rows.into_iter().next());
         for use_ in reported {
--- a/crates/ravenspar/src/work/executors/tests.rs
+++ b/crates/ravenspar/src/work/executors/tests.rs
@@ -7,7 +7,7 @@
 use ravenspar_duty::Tenure;
 use ravenspar_jobs::Incarnation;
 use ravenspar_standin::store::Memory;
-use ravenspar_store::{Committed, Fault, Guarded, Page, Read, Store};
+use ravenspar_store::{CommitOutcome, FencedTransaction, Page, Read, Store, StoreError};
 
 use super::*;
 use crate::shared::decode_incarnation;
@@ -22,10 +22,10 @@
 }
 
 /// Joins as a member and returns its executor; the events' receiver is dropped.
-async fn join(store: &Shared, incarnation: Incarnation) -> DutyExecutor {
+async fn join(store: &SharedStore, incarnation: Incarnation) -> DutyExecutor {
     store.grant(incarnation, LEASE).await.expect("the lease is granted");
     let keys = keys();
-    let mut writer = Hand::new(store.clone(), incarnation, keys.work_witness(incarnation, "own"));
+    let mut writer = FencedWriter::new(store.clone(), incarnation, keys.work_witness(incarnation, "own"));
     let then = vec![put(keys.member(incarnation), Vec::new(), incarnation)];
     writer.commit(Vec::new(), then).await.expect("the member's key is written");
     let (events, _) = mpsc::channel(1);
@@ -63,12 +63,12 @@
     }
 }
 
-async fn value(store: &Shared, key: Vec<u8>) -> Option<Vec<u8>> {
+async fn value(store: &SharedStore, key: Vec<u8>) -> Option<Vec<u8>> {
     let read = store.read(vec![Range { key, end: Vec::new(), since: 0 }]).await.expect("the store answers");
     read.ranges.into_iter().flatten().next().map(|row| row.value)
 }
 
-async fn leader(store: &Shared) -> Option<Incarnation> {
+async fn leader(store: &SharedStore) -> Option<Incarnation> {
     decode_incarnation(&value(store, keys().duty(DUTIES[JOBS])).await?)
 }
 
@@ -80,7 +80,7 @@
 /// Guards against two leaders when both stewards saw the claim's key absent.
 #[tokio::test]
 async fn only_one_of_two_concurrent_claims_of_a_duty_succeeds() {
-    let store: Shared = Arc::new(Memory::default());
+    let store: SharedStore = Arc::new(Memory::default());
     let (mut first, mut second) = (join(&store, 1).await, join(&store, 2).await);
     assert!(claim(&mut first).await.is_some());
     assert_eq!(claim(&mut second).await, None);
@@ -92,7 +92,7 @@
 
 #[tokio::test]
 async fn a_duty_is_handed_over_only_to_a_current_member_and_under_the_current_term() {
-    let store: Shared = Arc::new(Memory::default());
+    let store: SharedStore = Arc::new(Memory::default());
     let (mut first, _second) = (join(&store, 1).await, join(&store, 2).await);
     let term = claim(&mut first).await.expect("the duty has no leader");
     let hand_over = |term, to| Step::Give { duty: JOBS, term, to };
@@ -106,7 +106,7 @@
 /// Guards against writes by a leader that was replaced while its membership still holds by its own clock.
 #[tokio::test]
 async fn nothing_is_written_under_an_outdated_term() {
-    let store: Shared = Arc::new(Memory::default());
+    let store: SharedStore = Arc::new(Memory::default());
     let (mut first, mut second) = (join(&store, 1).await, join(&store, 2).await);
     let term = claim(&mut first).await.expect("the duty has no leader");
     let next =
@@ -120,7 +120,7 @@
 /// transaction is executed, or the site is back under another incarnation.
 #[tokio::test]
 async fn a_job_is_taken_from_a_site_only_if_its_incarnation_is_gone_from_the_store() {
-    let store: Shared = Arc::new(Memory::default());
+    let store: SharedStore = Arc::new(Memory::default());
     let mut leader = join(&store, 1).await;
     let term = claim(&mut leader).await.expect("the duty has no leader");
     let site = |incarnation| vec![put(keys().site(incarnation), Vec::new(), incarnation)];
@@ -152,40 +152,40 @@
 /// A store that fails each call.
 struct UnavailableStore;
 
-fn unavailable<T: Send>() -> BoxFuture<'static, Result<T, Fault>> {
-    Box::pin(async { Err(Fault::Refused("unavailable".to_owned())) })
+fn unavailable<T: Send>() -> BoxFuture<'static, Result<T, StoreError>> {
+    Box::pin(async { Err(StoreError::Refused("unavailable".to_owned())) })
 }
 
 impl Store for UnavailableStore {
-    fn read(&self, _: Vec<Range>) -> BoxFuture<'_, Result<Read, Fault>> {
+    fn read(&self, _: Vec<Range>) -> BoxFuture<'_, Result<Read, StoreError>> {
         unavailable()
     }
 
-    fn page(&self, _: Range, _: usize, _: u64) -> BoxFuture<'_, Result<Page, Fault>> {
+    fn page(&self, _: Range, _: usize, _: u64) -> BoxFuture<'_, Result<Page, StoreError>> {
         unavailable()
     }
 
-    fn commit(&self, _: Guarded, _: u32) -> BoxFuture<'_, Result<Committed, Fault>> {
+    fn commit(&self, _: FencedTransaction, _: u32) -> BoxFuture<'_, Result<CommitOutcome, StoreError>> {
         unavailable()
     }
 
-    fn grant(&self, _: u64, _: u32) -> BoxFuture<'_, Result<u32, Fault>> {
+    fn grant(&self, _: u64, _: u32) -> BoxFuture<'_, Result<u32, StoreError>> {
         unavailable()
     }
 
-    fn renew(&self, _: u64) -> BoxFuture<'_, Result<Option<u32>, Fault>> {
+    fn renew(&self, _: u64) -> BoxFuture<'_, Result<Option<u32>, StoreError>> {
         unavailable()
     }
 
-    fn revoke(&self, _: u64) -> BoxFuture<'_, Result<(), Fault>> {
+    fn revoke(&self, _: u64) -> BoxFuture<'_, Result<(), StoreError>> {
         unavailable()
     }
 }
 
 /// The executor for agents, with the events' receiver dropped.
-fn agent_executor(store: Shared) -> AgentExecutor {
+fn agent_executor(store: SharedStore) -> AgentExecutor {
     let keys = keys();
-    let writer = Hand::new(store.clone(), 1, keys.work_witness(1, "agents"));
+    let writer = FencedWriter::new(store.clone(), 1, keys.work_witness(1, "agents"));
     let (events, _) = mpsc::channel(1);
     AgentExecutor { writer, store, keys, events }
 }
@@ -207,7 +207,7 @@
 /// Outcomes of two agents are written in one transaction. Guards against the loss of both when only one conflicts.
 #[tokio::test]
 async fn an_outcome_that_conflicts_does_not_fail_others_of_its_batch() {
-    let store: Shared = Arc::new(Memory::default());
+    let store: SharedStore = Arc::new(Memory::default());
     store.grant(1, LEASE).await.expect("the lease is granted");
     let mut executor = agent_executor(store.clone());
     let lines = ["a", "b"].map(|job| put(keys().line(job), rows::encode(&Line::new(State::Leased(7))), 0));
--- a/crates/ravenspar/src/work/mod.rs
+++ b/crates/ravenspar/src/work/mod.rs
@@ -23,7 +23,7 @@
 use ravenspar_sharing::useful::RestDetector;
 use ravenspar_sharing::Incarnation;
 use ravenspar_steward::{Time, SECOND};
-use ravenspar_store::{Hand, Shared};
+use ravenspar_store::{FencedWriter, SharedStore};
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch, Notify};
 use tokio::task::AbortHandle;
@@ -125,7 +125,7 @@
 
 /// What the task needs to start.
 pub struct WorkContext {
-    pub store: Shared,
+    pub store: SharedStore,
     pub keys: Keys,
     pub clock: Clock,
     pub incarnation: Incarnation,
@@ -236,7 +236,8 @@
         let (event_sender, events) = mpsc::channel(EVENT_QUEUE_CAPACITY);
         let (store, keys) = (context.store.clone(), context.keys.clone());
         let (incarnation, clock) = (context.incarnation, context.clock);
-        let writer = |name: &str| Hand::new(store.clone(), incarnation, keys.work_witness(incarnation, name));
+        let writer =
+            |name: &str| FencedWriter::new(store.clone(), incarnation, keys.work_witness(incarnation, name));
         let failpoint = context.failpoint;
         let duty_executor = DutyExecutor {
             writer: writer("own"),
--- a/crates/ravenspar/src/work/poll.rs
+++ b/crates/ravenspar/src/work/poll.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ravenspar_store::{under, Fault, Range, Row, Shared};
+use ravenspar_store::{prefix_range, Range, Row, SharedStore, StoreError};
 use tokio::sync::{mpsc, watch, Notify};
 
 use super::Event;
@@ -56,7 +56,7 @@
 
 /// The poller of one incarnation.
 pub struct Poller {
-    pub store: Shared,
+    pub store: SharedStore,
     pub keys: Keys,
     pub requests: watch::Receiver<PollRequest>,
     /// True if the duty of debts is configured.
@@ -111,16 +111,16 @@
         request: PollRequest,
         full: bool,
         all_uses: bool,
-    ) -> Result<PollResult, Fault> {
+    ) -> Result<PollResult, StoreError> {
         /// A revision that no store reaches; a read of what changed since it is empty.
         const UNREACHED_REVISION: u64 = u64::MAX >> 1;
         let keys = &self.keys;
         // A full read goes by pages first; changes made in the meantime are in the read that follows.
         let (mut lines, mut jobs, mut from) = (Vec::new(), Vec::new(), since);
         if full {
-            (from, lines) = ravenspar_store::all(&*self.store, under(keys.lines(), 0)).await?;
+            (from, lines) = ravenspar_store::read_all(&*self.store, prefix_range(keys.lines(), 0)).await?;
             if request.jobs > 0 {
-                let (at, all) = ravenspar_store::all(&*self.store, under(keys.jobs(), 0)).await?;
+                let (at, all) = ravenspar_store::read_all(&*self.store, prefix_range(keys.jobs(), 0)).await?;
                 (from, jobs) = (from.min(at), all);
             }
             from += 1;
@@ -131,18 +131,18 @@
             _ => since,
         };
         let ranges = vec![
-            under(keys.members(), 0),
-            under(keys.reaches(), 0),
-            under(keys.duties(), 0),
-            under(keys.sites(), 0),
+            prefix_range(keys.members(), 0),
+            prefix_range(keys.reaches(), 0),
+            prefix_range(keys.duties(), 0),
+            prefix_range(keys.sites(), 0),
             Range {
                 key: keys.ranking(),
                 end: Vec::new(),
                 since: if self.debts_enabled { ranking_revision + 1 } else { UNREACHED_REVISION },
             },
-            under(keys.uses(), uses),
-            under(keys.lines(), from),
-            under(keys.jobs(), if request.jobs > 0 { from } else { UNREACHED_REVISION }),
+            prefix_range(keys.uses(), uses),
+            prefix_range(keys.lines(), from),
+            prefix_range(keys.jobs(), if request.jobs > 0 { from } else { UNREACHED_REVISION }),
         ];
         let read = self.store.read(ranges).await?;
         let mut ranges = read.ranges.into_iter();
@@ -167,8 +167,8 @@
         };
         if let Some(row) = rankings.into_iter().next() {
             // Read at the ranking's revision, as its digest doesn't cover later folds.
-            let changed = under(keys.sums(), ranking_revision + 1);
-            let (_, sums) = ravenspar_store::all_at(&*self.store, changed, row.modified).await?;
+            let changed = prefix_range(keys.sums(), ranking_revision + 1);
+            let (_, sums) = ravenspar_store::read_all_at(&*self.store, changed, row.modified).await?;
             poll.ranking = Some((row, sums));
         }
         Ok(poll)
--- a/crates/ravenspar/src/work/tests.rs
+++ b/crates/ravenspar/src/work/tests.rs
@@ -3,48 +3,48 @@
 use std::collections::BTreeSet;
 
 use futures_util::future::BoxFuture;
-use ravenspar_store::{Committed, Fault, Guarded, Page, Range, Read, Store};
+use ravenspar_store::{CommitOutcome, FencedTransaction, Page, Range, Read, Store, StoreError};
 
 use super::*;
 
 /// A store whose client panics on each call.
 struct PanickingStore;
 
-fn panics<T>() -> BoxFuture<'static, Result<T, Fault>> {
+fn panics<T>() -> BoxFuture<'static, Result<T, StoreError>> {
     Box::pin(async { panic!("injected panic in the store's client") })
 }
 
 impl Store for PanickingStore {
-    fn read(&self, _: Vec<Range>) -> BoxFuture<'_, Result<Read, Fault>> {
+    fn read(&self, _: Vec<Range>) -> BoxFuture<'_, Result<Read, StoreError>> {
         panics()
     }
 
-    fn page(&self, _: Range, _: usize, _: u64) -> BoxFuture<'_, Result<Page, Fault>> {
+    fn page(&self, _: Range, _: usize, _: u64) -> BoxFuture<'_, Result<Page, StoreError>> {
         panics()
     }
 
-    fn commit(&self, _: Guarded, _: u32) -> BoxFuture<'_, Result<Committed, Fault>> {
+    fn commit(&self, _: FencedTransaction, _: u32) -> BoxFuture<'_, Result<CommitOutcome, StoreError>> {
         panics()
     }
 
-    fn grant(&self, _: u64, _: u32) -> BoxFuture<'_, Result<u32, Fault>> {
+    fn grant(&self, _: u64, _: u32) -> BoxFuture<'_, Result<u32, StoreError>> {
         panics()
     }
 
-    fn renew(&self, _: u64) -> BoxFuture<'_, Result<Option<u32>, Fault>> {
+    fn renew(&self, _: u64) -> BoxFuture<'_, Result<Option<u32>, StoreError>> {
         panics()
     }
 
-    fn revoke(&self, _: u64) -> BoxFuture<'_, Result<(), Fault>> {
+    fn revoke(&self, _: u64) -> BoxFuture<'_, Result<(), StoreError>> {
         panics()
     }
 }
 
 #[tokio::test]
 async fn panic_in_an_executor_or_the_poller_terminates_the_incarnation() {
-    let store: Shared = Arc::new(PanickingStore);
+    let store: SharedStore = Arc::new(PanickingStore);
     let keys = Keys::new("test/");
-    let writer = || Hand::new(store.clone(), 1, keys.work_witness(1, "own"));
+    let writer = || FencedWriter::new(store.clone(), 1, keys.work_witness(1, "own"));
     let (event_sender, mut events) = mpsc::channel(EVENT_QUEUE_CAPACITY);
     let duty_executor = DutyExecutor {
         writer: writer(),
--- a/crates/ravenspar/src/work/uses.rs
+++ b/crates/ravenspar/src/work/uses.rs
@@ -121,7 +121,7 @@
             return;
         }
         self.next_use_write_at = now + USE_WRITE_INTERVAL;
-        let batch = self.pending_uses.iter().take(ravenspar_store::MOST).map(|((token, job), fact)| {
+        let batch = self.pending_uses.iter().take(ravenspar_store::MAX_STEPS).map(|((token, job), fact)| {
             ReportedUse { token: *token, used: fact.used, last: fact.last, job: job.clone() }
         });
         let batch = batch.collect();
--- a/crates/record/tests/files.rs
+++ b/crates/record/tests/files.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use ravenspar_record::{Fault, Record, ServerRow, SliceRow};
+use ravenspar_record::{Record, RecordError, ServerRow, SliceRow};
 use redb::{Database, TableDefinition};
 
 fn row(slice: u32, owner: Option<&str>, weight: u64) -> SliceRow {
@@ -15,7 +15,7 @@
 }
 
 /// Opens a file that must be rejected and stay unchanged; returns the error.
-fn open_rejected(path: &Path) -> Fault {
+fn open_rejected(path: &Path) -> RecordError {
     let before = std::fs::read(path).expect("read the file");
     let error = Record::open(path).err().expect("an error");
     assert!(std::fs::read(path).expect("read the file") == before, "the file was modified");
@@ -48,13 +48,13 @@
     let dir = tempfile::tempdir().expect("a temporary directory");
     let path = dir.path().join("file");
     std::fs::write(&path, "servers: []\n").expect("write");
-    assert!(matches!(open_rejected(&path), Fault::Open { .. }));
+    assert!(matches!(open_rejected(&path), RecordError::Open { .. }));
     std::fs::write(&path, "").expect("write");
-    assert!(matches!(open_rejected(&path), Fault::Open { .. }));
+    assert!(matches!(open_rejected(&path), RecordError::Open { .. }));
 
     let foreign = dir.path().join("foreign");
     Database::create(&foreign).expect("create");
-    assert!(matches!(open_rejected(&foreign), Fault::Foreign(_)));
+    assert!(matches!(open_rejected(&foreign), RecordError::Foreign(_)));
 
     let newer = dir.path().join("newer");
     let db = Database::create(&newer).expect("create");
@@ -63,7 +63,7 @@
     write.open_table(meta).expect("open table").insert("layout", 2).expect("write");
     write.commit().expect("write");
     drop(db);
-    assert!(matches!(open_rejected(&newer), Fault::Layout { found: 2, expected: 1, .. }));
+    assert!(matches!(open_rejected(&newer), RecordError::Layout { found: 2, expected: 1, .. }));
 }
 
 /// The copy of an open file is what a killed process leaves behind.
--- a/crates/replica/src/log.rs
+++ b/crates/replica/src/log.rs
@@ -16,7 +16,7 @@
     /// A new leader's first entry; committing it commits the entries of earlier terms before it.
     Noop,
     /// An encoded command for the state machine.
-    Order(Vec<u8>),
+    Command(Vec<u8>),
     /// The membership from this entry on.
     Members(Members),
 }
--- a/crates/replica/src/node.rs
+++ b/crates/replica/src/node.rs
@@ -4,7 +4,7 @@
 
 use crate::log::{Body, Entry};
 use crate::replica::{Action, Output, Replica, RequestError};
-use crate::state::{Order, Outcome, Range, State};
+use crate::state::{Command, Outcome, Range, State};
 use crate::{Id, Index, Message, Term, Time};
 
 /// Identifies a request; chosen by the caller.
@@ -13,7 +13,7 @@
 /// A client's request to a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Request {
-    Order(Order),
+    Command(Command),
     /// A linearizable read: it sees the committed state at some moment between the request and its response.
     Read(Vec<Range>),
 }
@@ -21,7 +21,7 @@
 /// The response to a [`Request`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Response {
-    Done(Outcome),
+    Applied(Outcome),
     /// The request had no effect and never will.
     Rejected(RequestError),
     /// The request may have taken effect, or may still do so.
@@ -87,7 +87,7 @@
     pub fn request(&mut self, token: Token, request: Request) {
         let term = self.replica.hard_state().term;
         let accepted = match request {
-            Request::Order(command) => self.replica.propose(command.write()).map(|index| {
+            Request::Command(command) => self.replica.propose(command.encode()).map(|index| {
                 // A request still pending at this index lost its entry when the log was truncated.
                 if let Some((_, dropped)) = self.pending_commands.insert(index, (term, token)) {
                     self.responses
@@ -131,7 +131,7 @@
             self.lease_deadlines.insert(lease, now + EXPIRY_RETRY);
             if let Some(renewals) = self.state.leases.get(&lease).map(|known| known.renewals) {
                 // If too much is pending, the next timeout proposes it again.
-                let _ = self.replica.propose(Order::End { lease, renewals }.write());
+                let _ = self.replica.propose(Command::ExpireLease { lease, renewals }.encode());
             }
         }
     }
@@ -149,7 +149,7 @@
                 Output::Committed { index, entry } => self.apply(now, index, &entry),
                 Output::Read(read_id) => {
                     if let Some((token, ranges)) = self.pending_reads.remove(&read_id) {
-                        let response = Response::Done(self.state.read(&ranges));
+                        let response = Response::Applied(self.state.read(&ranges));
                         self.responses.push_back(Effect::Response { token, response });
                     }
                 }
@@ -182,11 +182,11 @@
     /// Applies a committed entry to the state and answers the request that proposed it.
     fn apply(&mut self, now: Time, index: Index, entry: &Entry) {
         self.applied = index;
-        let Body::Order(command) = &entry.body else { return };
+        let Body::Command(command) = &entry.body else { return };
         let outcome = self.state.apply(command);
-        let lease = match Order::decode(command) {
-            Some(Order::Grant { lease, .. } | Order::Renew { lease }) => Some(lease),
-            Some(Order::Revoke { lease } | Order::End { lease, .. }) => Some(lease),
+        let lease = match Command::decode(command) {
+            Some(Command::GrantLease { lease, .. } | Command::RenewLease { lease }) => Some(lease),
+            Some(Command::RevokeLease { lease } | Command::ExpireLease { lease, .. }) => Some(lease),
             _ => None,
         };
         if let Some(lease) = lease {
@@ -199,7 +199,7 @@
         }
         if let Some((term, token)) = self.pending_commands.remove(&index) {
             // An entry of another term took its place: this one was dropped before it was committed.
-            let response = if term == entry.term { Response::Done(outcome) } else { Response::Unknown };
+            let response = if term == entry.term { Response::Applied(outcome) } else { Response::Unknown };
             self.responses.push_back(Effect::Response { token, response });
         }
     }
--- a/crates/replica/src/replica.rs
+++ b/crates/replica/src/replica.rs
@@ -225,7 +225,7 @@
         if self.log.last_index() - self.commit >= MAX_UNCOMMITTED {
             return Err(RequestError::TooManyPending);
         }
-        self.append(Body::Order(command));
+        self.append(Body::Command(command));
         Ok(self.log.last_index())
     }
 
--- a/crates/replica/src/replica/replication.rs
+++ b/crates/replica/src/replica/replication.rs
@@ -62,7 +62,7 @@
             let prev_index = progress.next_index - 1;
             let mut bytes = 0;
             let size = |entry: &Entry| match &entry.body {
-                Body::Order(command) => command.len(),
+                Body::Command(command) => command.len(),
                 _ => 0,
             };
             let window_left =
--- a/crates/replica/src/state.rs
+++ b/crates/replica/src/state.rs
@@ -64,26 +64,26 @@
 
 /// A command to the state machine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Order {
+pub enum Command {
     /// A transaction: the steps of `then` if all comparisons hold, else those of `otherwise`. Atomic.
-    Do {
+    Transaction {
         compare: Vec<Compare>,
         then: Vec<Step>,
         otherwise: Vec<Step>,
     },
-    Grant {
+    GrantLease {
         lease: u64,
         seconds: u32,
     },
-    Renew {
+    RenewLease {
         lease: u64,
     },
-    Revoke {
+    RevokeLease {
         lease: u64,
     },
     /// Proposed by the leader when a lease expires; has no effect if the lease has been renewed since, so that `renewals` is
     /// no longer its count.
-    End {
+    ExpireLease {
         lease: u64,
         renewals: u64,
     },
@@ -91,7 +91,7 @@
 
 /// The result of a [`Step`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Did {
+pub enum Executed {
     Read(Vec<Row>),
     Put,
     /// The number of keys deleted.
@@ -102,21 +102,21 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Outcome {
     pub revision: u64,
-    pub result: Result<Done, Not>,
+    pub result: Result<Applied, Rejection>,
 }
 
 /// The result of a command that was carried out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Done {
+pub enum Applied {
     /// A transaction: whether all comparisons held, and the result of each step.
-    Did { held: bool, steps: Vec<Did> },
+    Executed { succeeded: bool, steps: Vec<Executed> },
     /// The lease's time to live in seconds; 0 if it was ended.
     Lease(u32),
 }
 
 /// Why a command was rejected; it had no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Not {
+pub enum Rejection {
     /// The lease exists already.
     LeaseExists,
     /// The lease does not exist, or was renewed before it could expire.
@@ -124,7 +124,7 @@
     /// One transaction puts the same key twice.
     DuplicateKey,
     /// The command can't be decoded.
-    Unread,
+    Undecodable,
 }
 
 /// A lease and the keys bound to it.
@@ -152,76 +152,78 @@
 }
 
 impl State {
-    /// Carries out a command, as encoded by [`Order::write`].
+    /// Carries out a command, as encoded by [`Command::write`].
     pub fn apply(&mut self, command: &[u8]) -> Outcome {
-        let result = match Order::decode(command) {
+        let result = match Command::decode(command) {
             Some(command) => self.execute(command),
-            None => Err(Not::Unread),
+            None => Err(Rejection::Undecodable),
         };
         Outcome { revision: self.revision, result }
     }
 
     /// Reads ranges at the current revision.
     pub fn read(&self, ranges: &[Range]) -> Outcome {
-        let steps = ranges.iter().map(|range| Did::Read(self.read_range(range))).collect();
-        Outcome { revision: self.revision, result: Ok(Done::Did { held: true, steps }) }
+        let steps = ranges.iter().map(|range| Executed::Read(self.read_range(range))).collect();
+        Outcome { revision: self.revision, result: Ok(Applied::Executed { succeeded: true, steps }) }
     }
 
-    fn execute(&mut self, command: Order) -> Result<Done, Not> {
+    fn execute(&mut self, command: Command) -> Result<Applied, Rejection> {
         match command {
-            Order::Do { compare, then, otherwise } => {
-                let held = compare.iter().all(|compare| self.matches(compare));
-                let steps = if held { then } else { otherwise };
+            Command::Transaction { compare, then, otherwise } => {
+                let succeeded = compare.iter().all(|compare| self.matches(compare));
+                let steps = if succeeded { then } else { otherwise };
                 self.validate(&steps)?;
                 let next = self.revision + 1;
                 let mut wrote = false;
                 let steps = steps.into_iter().map(|step| self.execute_step(step, next, &mut wrote)).collect();
                 self.revision += u64::from(wrote);
-                Ok(Done::Did { held, steps })
+                Ok(Applied::Executed { succeeded, steps })
             }
-            Order::Grant { lease, .. } if self.leases.contains_key(&lease) => Err(Not::LeaseExists),
-            Order::Grant { lease, seconds } => {
+            Command::GrantLease { lease, .. } if self.leases.contains_key(&lease) => {
+                Err(Rejection::LeaseExists)
+            }
+            Command::GrantLease { lease, seconds } => {
                 self.leases.insert(lease, Lease { seconds, renewals: 0, keys: BTreeSet::new() });
-                Ok(Done::Lease(seconds))
+                Ok(Applied::Lease(seconds))
             }
-            Order::Renew { lease } => {
-                let known = self.leases.get_mut(&lease).ok_or(Not::LeaseNotFound)?;
+            Command::RenewLease { lease } => {
+                let known = self.leases.get_mut(&lease).ok_or(Rejection::LeaseNotFound)?;
                 known.renewals += 1;
-                Ok(Done::Lease(known.seconds))
+                Ok(Applied::Lease(known.seconds))
             }
-            Order::Revoke { lease } => self.end_lease(lease),
-            Order::End { lease, renewals } => {
+            Command::RevokeLease { lease } => self.end_lease(lease),
+            Command::ExpireLease { lease, renewals } => {
                 // If a renewal precedes the expiry in the log, the renewal wins.
                 let is_current = self.leases.get(&lease).is_some_and(|known| known.renewals == renewals);
                 if is_current {
                     self.end_lease(lease)
                 } else {
-                    Err(Not::LeaseNotFound)
+                    Err(Rejection::LeaseNotFound)
                 }
             }
         }
     }
 
     /// Removes a lease and deletes its keys.
-    fn end_lease(&mut self, lease: u64) -> Result<Done, Not> {
-        let ended = self.leases.remove(&lease).ok_or(Not::LeaseNotFound)?;
+    fn end_lease(&mut self, lease: u64) -> Result<Applied, Rejection> {
+        let ended = self.leases.remove(&lease).ok_or(Rejection::LeaseNotFound)?;
         if !ended.keys.is_empty() {
             self.revision += 1;
         }
         ended.keys.iter().for_each(|key| _ = self.rows.remove(key));
-        Ok(Done::Lease(0))
+        Ok(Applied::Lease(0))
     }
 
     /// Rejects an invalid transaction as a whole, before any step is carried out.
-    fn validate(&self, steps: &[Step]) -> Result<(), Not> {
+    fn validate(&self, steps: &[Step]) -> Result<(), Rejection> {
         let mut written: BTreeSet<&[u8]> = BTreeSet::new();
         for step in steps {
             if let Step::Put { key, lease, .. } = step {
                 if *lease != 0 && !self.leases.contains_key(lease) {
-                    return Err(Not::LeaseNotFound);
+                    return Err(Rejection::LeaseNotFound);
                 }
                 if !written.insert(key) {
-                    return Err(Not::DuplicateKey);
+                    return Err(Rejection::DuplicateKey);
                 }
             }
         }
@@ -261,9 +263,9 @@
         rows.filter(|row| row.modified >= range.since).cloned().collect()
     }
 
-    fn execute_step(&mut self, step: Step, revision: u64, wrote: &mut bool) -> Did {
+    fn execute_step(&mut self, step: Step, revision: u64, wrote: &mut bool) -> Executed {
         match step {
-            Step::Read(range) => Did::Read(self.read_range(&range)),
+            Step::Read(range) => Executed::Read(self.read_range(&range)),
             Step::Put { key, value, lease } => {
                 *wrote = true;
                 let old = self.rows.get(&key);
@@ -277,7 +279,7 @@
                 }
                 let row = Row { key: key.clone(), value, created, modified: revision, version, lease };
                 self.rows.insert(key, row);
-                Did::Put
+                Executed::Put
             }
             Step::Delete(range) => {
                 let rows = self.read_range(&Range { since: 0, ..range });
@@ -288,21 +290,21 @@
                         lease.keys.remove(&row.key);
                     }
                 }
-                Did::Deleted(rows.len() as u64)
+                Executed::Deleted(rows.len() as u64)
             }
         }
     }
 }
 
-impl Order {
+impl Command {
     /// Encodes the command for the log.
-    pub fn write(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         // A command of plain data always serializes.
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
     /// Decodes a command; `None` if the bytes are not one.
-    pub fn decode(bytes: &[u8]) -> Option<Order> {
+    pub fn decode(bytes: &[u8]) -> Option<Command> {
         postcard::from_bytes(bytes).ok()
     }
 }
--- a/crates/replica/tests/common/mod.rs
+++ b/crates/replica/tests/common/mod.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use ravenspar_replica::state::{Compare, CompareOp, Did, Done, Operand, Order, Range, Step};
+use ravenspar_replica::state::{Applied, Command, Compare, CompareOp, Executed, Operand, Range, Step};
 use ravenspar_replica::{
     Action, Effect, Entry, FeatureToggles, HardState, Hash, Id, Index, Log, Member, Message, Node, Replica,
     Request, Response, Settings, State, Time,
@@ -175,12 +175,12 @@
         let read_back = Step::Read(Range { key: key.as_bytes().to_vec(), end: Vec::new(), since: 0 });
         let exists =
             Compare { key: key.as_bytes().to_vec(), how: CompareOp::Greater, by: Operand::Version(0) };
-        let command = Order::Do {
+        let command = Command::Transaction {
             compare: vec![exists],
             then: vec![step.clone(), read_back.clone()],
             otherwise: vec![step, read_back],
         };
-        self.call(n, key, Request::Order(command), false);
+        self.call(n, key, Request::Command(command), false);
     }
 
     pub fn get(&mut self, n: usize, key: &str) {
@@ -192,7 +192,7 @@
     pub fn grant(&mut self, n: usize, lease: u64, seconds: u32) {
         let Some(node) = self.processes[n].node.as_mut() else { return };
         self.token += 1;
-        node.request(self.token, Request::Order(Order::Grant { lease, seconds }));
+        node.request(self.token, Request::Command(Command::GrantLease { lease, seconds }));
         self.poll_all(n);
     }
 
@@ -217,13 +217,13 @@
     /// Checks a response against what had been acknowledged before the request.
     fn handle_response(&mut self, token: u64, response: Response) {
         let Some(call) = self.calls.remove(&token) else { return };
-        let Response::Done(outcome) = response else { return };
-        let Ok(Done::Did { steps, .. }) = outcome.result else {
+        let Response::Applied(outcome) = response else { return };
+        let Ok(Applied::Executed { steps, .. }) = outcome.result else {
             self.violation.get_or_insert(format!("{call:?} was rejected"));
             return;
         };
         let rows = steps.iter().find_map(|step| match step {
-            Did::Read(rows) => Some(rows),
+            Executed::Read(rows) => Some(rows),
             _ => None,
         });
         let version = rows.and_then(|rows| rows.first()).map_or(0, |row| row.version);
@@ -503,8 +503,8 @@
     for (key, version) in &fleet.acked {
         let range = Range { key: key.as_bytes().to_vec(), end: Vec::new(), since: 0 };
         let found = match state.read(&[range]).result {
-            Ok(Done::Did { steps, .. }) => match &steps[0] {
-                Did::Read(rows) => rows.first().map_or(0, |row| row.version),
+            Ok(Applied::Executed { steps, .. }) => match &steps[0] {
+                Executed::Read(rows) => rows.first().map_or(0, |row| row.version),
                 _ => 0,
             },
             _ => 0,
--- a/crates/replica/tests/leases.rs
+++ b/crates/replica/tests/leases.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::Fleet;
-use ravenspar_replica::state::Order;
+use ravenspar_replica::state::Command;
 use ravenspar_replica::{FeatureToggles, State, Time};
 
 const SECOND: Time = 10_000;
@@ -35,11 +35,11 @@
 #[test]
 fn an_expiry_behind_a_renewal_that_it_did_not_know_of_has_no_effect() {
     let mut state = State::default();
-    let grant = Order::Grant { lease: LEASE, seconds: LEASE_SECONDS };
-    for command in [grant, Order::Renew { lease: LEASE }] {
-        assert!(state.apply(&command.write()).result.is_ok());
+    let grant = Command::GrantLease { lease: LEASE, seconds: LEASE_SECONDS };
+    for command in [grant, Command::RenewLease { lease: LEASE }] {
+        assert!(state.apply(&command.encode()).result.is_ok());
     }
-    let expire = |renewals| Order::End { lease: LEASE, renewals }.write();
+    let expire = |renewals| Command::ExpireLease { lease: LEASE, renewals }.encode();
     assert!(state.apply(&expire(0)).result.is_err());
     assert!(state.leases.contains_key(&LEASE));
     assert!(state.apply(&expire(1)).result.is_ok());
--- a/crates/standin/src/store/memory.rs
+++ b/crates/standin/src/store/memory.rs
@@ -5,9 +5,11 @@
 use std::sync::{Arc, Mutex, PoisonError};
 
 use futures_util::future::BoxFuture;
-use ravenspar_replica::state::{Did, Done, Not, Order};
+use ravenspar_replica::state::{Applied, Command, Executed, Rejection};
 use ravenspar_replica::State;
-use ravenspar_store::{at, put, Committed, Fault, Guarded, Page, Range, Read, Step, Store};
+use ravenspar_store::{
+    at, put, CommitOutcome, FencedTransaction, Page, Range, Read, Step, Store, StoreError,
+};
 
 use crate::{Clock, Time, SECOND};
 
@@ -18,21 +20,24 @@
 }
 
 impl Memory {
-    fn order(&self, order: Order) -> (u64, Result<Done, Not>) {
+    fn order(&self, order: Command) -> (u64, Result<Applied, Rejection>) {
         let now = self.clock.now();
         let mut inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
         let (state, ends) = &mut *inner;
         let over: Vec<u64> = ends.iter().filter(|(_, end)| now >= **end).map(|(lease, _)| *lease).collect();
         for lease in over {
             ends.remove(&lease);
-            state.apply(&Order::Revoke { lease }.write());
+            state.apply(&Command::RevokeLease { lease }.encode());
         }
-        let outcome = state.apply(&order.write());
+        let outcome = state.apply(&order.encode());
         match (&order, &outcome.result) {
-            (Order::Grant { lease, .. } | Order::Renew { lease }, Ok(Done::Lease(seconds))) => {
+            (
+                Command::GrantLease { lease, .. } | Command::RenewLease { lease },
+                Ok(Applied::Lease(seconds)),
+            ) => {
                 ends.insert(*lease, now + Time::from(*seconds) * SECOND);
             }
-            (Order::Revoke { lease }, _) => _ = ends.remove(lease),
+            (Command::RevokeLease { lease }, _) => _ = ends.remove(lease),
             _ => {}
         }
         (outcome.revision, outcome.result)
@@ -40,27 +45,28 @@
 
     fn reads(&self, ranges: Vec<Range>) -> Read {
         let then = ranges.into_iter().map(Step::Read).collect();
-        let (revision, result) = self.order(Order::Do { compare: Vec::new(), then, otherwise: Vec::new() });
-        let Ok(Done::Did { steps, .. }) = result else { return Read::default() };
-        let rows = |did| if let Did::Read(rows) = did { rows } else { Vec::new() };
+        let (revision, result) =
+            self.order(Command::Transaction { compare: Vec::new(), then, otherwise: Vec::new() });
+        let Ok(Applied::Executed { steps, .. }) = result else { return Read::default() };
+        let rows = |did| if let Executed::Read(rows) = did { rows } else { Vec::new() };
         Read { cluster: 1, revision, ranges: steps.into_iter().map(rows).collect() }
     }
 
-    fn lease(&self, order: Order) -> Result<u32, Not> {
+    fn lease(&self, order: Command) -> Result<u32, Rejection> {
         match self.order(order).1? {
-            Done::Lease(seconds) => Ok(seconds),
-            Done::Did { .. } => Err(Not::Unread),
+            Applied::Lease(seconds) => Ok(seconds),
+            Applied::Executed { .. } => Err(Rejection::Undecodable),
         }
     }
 }
 
 impl Store for Memory {
-    fn read(&self, ranges: Vec<Range>) -> BoxFuture<'_, Result<Read, Fault>> {
+    fn read(&self, ranges: Vec<Range>) -> BoxFuture<'_, Result<Read, StoreError>> {
         Box::pin(async move { Ok(self.reads(ranges)) })
     }
 
     /// It keeps no earlier revisions: pages behind the first are as they are now.
-    fn page(&self, range: Range, limit: usize, revision: u64) -> BoxFuture<'_, Result<Page, Fault>> {
+    fn page(&self, range: Range, limit: usize, revision: u64) -> BoxFuture<'_, Result<Page, StoreError>> {
         Box::pin(async move {
             let read = self.reads(vec![range]);
             let mut rows = read.ranges.into_iter().next().unwrap_or_default();
@@ -72,39 +78,46 @@
         })
     }
 
-    fn commit(&self, guarded: Guarded, _fences: u32) -> BoxFuture<'_, Result<Committed, Fault>> {
+    fn commit(
+        &self,
+        guarded: FencedTransaction,
+        _fences: u32,
+    ) -> BoxFuture<'_, Result<CommitOutcome, StoreError>> {
         Box::pin(async move {
             let mut compare = vec![at(guarded.witness.clone(), guarded.revision)];
             compare.extend(guarded.compare);
             let mut then = guarded.then;
             then.push(put(guarded.witness.clone(), guarded.value, guarded.lease));
             let read = Step::Read(Range { key: guarded.witness, end: Vec::new(), since: 0 });
-            let (revision, result) = self.order(Order::Do { compare, then, otherwise: vec![read] });
+            let (revision, result) =
+                self.order(Command::Transaction { compare, then, otherwise: vec![read] });
             match result {
-                Ok(Done::Did { held: true, .. }) => Ok(Committed::Yes { witness: revision }),
-                Ok(Done::Did { steps, .. }) => {
-                    let row = |did| if let Did::Read(rows) = did { rows } else { Vec::new() };
+                Ok(Applied::Executed { succeeded: true, .. }) => {
+                    Ok(CommitOutcome::Committed { witness: revision })
+                }
+                Ok(Applied::Executed { steps, .. }) => {
+                    let row = |did| if let Executed::Read(rows) = did { rows } else { Vec::new() };
                     let found = steps.into_iter().flat_map(row).next();
-                    Ok(Committed::No { witness: found.map_or(0, |row| row.modified) })
+                    Ok(CommitOutcome::Aborted { witness: found.map_or(0, |row| row.modified) })
                 }
-                Ok(Done::Lease(_)) => Err(Fault::Unknown("another answer than asked for".to_owned())),
-                Err(not) => Err(Fault::Refused(format!("{not:?}"))),
+                Ok(Applied::Lease(_)) => Err(StoreError::Unknown("another answer than asked for".to_owned())),
+                Err(not) => Err(StoreError::Refused(format!("{not:?}"))),
             }
         })
     }
 
-    fn grant(&self, lease: u64, seconds: u32) -> BoxFuture<'_, Result<u32, Fault>> {
-        let made = self.lease(Order::Grant { lease, seconds });
-        Box::pin(async move { made.map_err(|not| Fault::Refused(format!("{not:?}"))) })
+    fn grant(&self, lease: u64, seconds: u32) -> BoxFuture<'_, Result<u32, StoreError>> {
+        let made = self.lease(Command::GrantLease { lease, seconds });
+        Box::pin(async move { made.map_err(|not| StoreError::Refused(format!("{not:?}"))) })
     }
 
-    fn renew(&self, lease: u64) -> BoxFuture<'_, Result<Option<u32>, Fault>> {
-        let renewed = self.lease(Order::Renew { lease });
+    fn renew(&self, lease: u64) -> BoxFuture<'_, Result<Option<u32>, StoreError>> {
+        let renewed = self.lease(Command::RenewLease { lease });
         Box::pin(async move { Ok(renewed.ok()) })
     }
 
-    fn revoke(&self, lease: u64) -> BoxFuture<'_, Result<(), Fault>> {
-        let _ = self.order(Order::Revoke { lease });
+    fn revoke(&self, lease: u64) -> BoxFuture<'_, Result<(), StoreError>> {
+        let _ = self.order(Command::RevokeLease { lease });
         Box::pin(async { Ok(()) })
     }
 }
--- a/crates/standin/tests/keeps.rs
+++ b/crates/standin/tests/keeps.rs
@@ -5,9 +5,12 @@
 use std::time::Duration;
 
 use ravenspar_standin::store::{Memory, Store};
-use ravenspar_store::{at, delete, put, there, under, Committed, Fault, Guarded, Hand, Shared, Stop};
+use ravenspar_store::{
+    at, delete, exists, prefix_range, put, CommitOutcome, FencedTransaction, FencedWriter, SharedStore,
+    StoreError, WriteError,
+};
 
-fn on_each(case: impl AsyncFn(Shared)) {
+fn on_each(case: impl AsyncFn(SharedStore)) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
         case(Arc::new(Memory::default())).await;
@@ -25,23 +28,25 @@
 fn ranges_are_read_at_one_revision_and_by_what_changed_since() {
     on_each(async |store| {
         store.grant(9, 30).await.expect("granted");
-        let mut hand = Hand::new(store.clone(), 9, b"w".to_vec());
+        let mut hand = FencedWriter::new(store.clone(), 9, b"w".to_vec());
         let puts = |names: &[&str]| names.iter().map(|n| put((*n).into(), b"v".to_vec(), 0)).collect();
         let first = hand.commit(Vec::new(), puts(&["a/1", "a/2", "b/1"])).await.expect("written");
         let second = hand.commit(Vec::new(), puts(&["a/2"])).await.expect("written");
         assert!(second > first);
-        let read = store.read(vec![under(b"a/".to_vec(), 0), under(b"a/".to_vec(), second)]).await;
+        let read =
+            store.read(vec![prefix_range(b"a/".to_vec(), 0), prefix_range(b"a/".to_vec(), second)]).await;
         let read = read.expect("read");
         assert_eq!(read.revision, second);
         assert_eq!(keys(&read.ranges[0]), ["a/1", "a/2"]);
         assert_eq!(keys(&read.ranges[1]), ["a/2"]);
         assert_eq!(read.ranges[0].iter().map(|row| row.modified).collect::<Vec<_>>(), [first, second]);
-        let (_, all) = ravenspar_store::all(&*store, under(b"a/".to_vec(), 0)).await.expect("read");
+        let (_, all) =
+            ravenspar_store::read_all(&*store, prefix_range(b"a/".to_vec(), 0)).await.expect("read");
         assert_eq!(all, read.ranges[0]);
-        let page = store.page(under(b"a/".to_vec(), 0), 1, 0).await.expect("read");
+        let page = store.page(prefix_range(b"a/".to_vec(), 0), 1, 0).await.expect("read");
         assert_eq!((keys(&page.rows), page.more), (vec!["a/1"], true));
         hand.commit(Vec::new(), vec![delete(b"a/1".to_vec())]).await.expect("deleted");
-        let read = store.read(vec![under(b"a/".to_vec(), 0)]).await.expect("read");
+        let read = store.read(vec![prefix_range(b"a/".to_vec(), 0)]).await.expect("read");
         assert_eq!(keys(&read.ranges[0]), ["a/2"]);
     });
 }
@@ -50,16 +55,22 @@
 fn a_transaction_is_carried_out_where_all_that_is_compared_is_so() {
     on_each(async |store| {
         store.grant(9, 30).await.expect("granted");
-        let mut hand = Hand::new(store.clone(), 9, b"w".to_vec());
+        let mut hand = FencedWriter::new(store.clone(), 9, b"w".to_vec());
         let put_k = |value: &str| vec![put(b"k".to_vec(), value.into(), 0)];
         // Not the first thing that a hand writes, either: it is told so and may go on.
-        assert_eq!(hand.commit(vec![there(b"k".to_vec())], put_k("no")).await, Err(Stop::Not));
+        assert_eq!(
+            hand.commit(vec![exists(b"k".to_vec())], put_k("no")).await,
+            Err(WriteError::ConditionFailed)
+        );
         let first = hand.commit(vec![at(b"k".to_vec(), 0)], put_k("one")).await.expect("written");
-        assert_eq!(hand.commit(vec![at(b"k".to_vec(), 0)], put_k("no")).await, Err(Stop::Not));
-        hand.commit(vec![at(b"k".to_vec(), first), there(b"k".to_vec())], put_k("two"))
+        assert_eq!(
+            hand.commit(vec![at(b"k".to_vec(), 0)], put_k("no")).await,
+            Err(WriteError::ConditionFailed)
+        );
+        hand.commit(vec![at(b"k".to_vec(), first), exists(b"k".to_vec())], put_k("two"))
             .await
             .expect("written");
-        let read = store.read(vec![under(b"k".to_vec(), 0)]).await.expect("read");
+        let read = store.read(vec![prefix_range(b"k".to_vec(), 0)]).await.expect("read");
         assert_eq!(read.ranges[0][0].value, b"two");
     });
 }
@@ -67,7 +78,7 @@
 #[test]
 fn what_is_written_by_an_old_witness_has_no_effect() {
     on_each(async |store| {
-        let guarded = |revision: u64, value: &str| Guarded {
+        let guarded = |revision: u64, value: &str| FencedTransaction {
             witness: b"w".to_vec(),
             revision,
             value: value.into(),
@@ -75,14 +86,18 @@
             then: vec![put(b"k".to_vec(), value.into(), 0)],
             lease: 0,
         };
-        let Ok(Committed::Yes { witness }) = store.commit(guarded(0, "one"), 2).await else {
+        let Ok(CommitOutcome::Committed { witness }) = store.commit(guarded(0, "one"), 2).await else {
             panic!("refused")
         };
-        let Ok(Committed::Yes { witness: newer }) = store.commit(guarded(witness, "two"), 2).await else {
+        let Ok(CommitOutcome::Committed { witness: newer }) = store.commit(guarded(witness, "two"), 2).await
+        else {
             panic!("refused")
         };
-        assert_eq!(store.commit(guarded(witness, "late"), 2).await, Ok(Committed::No { witness: newer }));
-        let read = store.read(vec![under(b"k".to_vec(), 0)]).await.expect("read");
+        assert_eq!(
+            store.commit(guarded(witness, "late"), 2).await,
+            Ok(CommitOutcome::Aborted { witness: newer })
+        );
+        let read = store.read(vec![prefix_range(b"k".to_vec(), 0)]).await.expect("read");
         assert_eq!(read.ranges[0][0].value, b"two");
     });
 }
@@ -91,18 +106,18 @@
 fn keys_go_with_their_lease_and_nothing_is_written_by_a_hand_whose_lease_is_over() {
     on_each(async |store| {
         assert_eq!(store.grant(9, 1).await, Ok(1));
-        assert!(matches!(store.grant(9, 1).await, Err(Fault::Refused(_))));
-        let mut hand = Hand::new(store.clone(), 9, b"w".to_vec());
+        assert!(matches!(store.grant(9, 1).await, Err(StoreError::Refused(_))));
+        let mut hand = FencedWriter::new(store.clone(), 9, b"w".to_vec());
         hand.commit(Vec::new(), vec![put(b"m".to_vec(), Vec::new(), 9)]).await.expect("written");
         assert_eq!(store.renew(9).await, Ok(Some(1)));
         // Waits for the store's own clock to end it.
-        while !store.read(vec![under(b"m".to_vec(), 0)]).await.expect("read").ranges[0].is_empty() {
+        while !store.read(vec![prefix_range(b"m".to_vec(), 0)]).await.expect("read").ranges[0].is_empty() {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         assert_eq!(store.renew(9).await, Ok(None));
         let late = hand.commit(Vec::new(), vec![put(b"k".to_vec(), Vec::new(), 0)]).await;
-        assert!(matches!(late, Err(Stop::Over(_))), "{late:?}");
-        assert!(store.read(vec![under(b"k".to_vec(), 0)]).await.expect("read").ranges[0].is_empty());
+        assert!(matches!(late, Err(WriteError::Fatal(_))), "{late:?}");
+        assert!(store.read(vec![prefix_range(b"k".to_vec(), 0)]).await.expect("read").ranges[0].is_empty());
         assert_eq!(store.revoke(9).await, Ok(()));
     });
 }
--- a/crates/standin/tests/store.rs
+++ b/crates/standin/tests/store.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use ravenspar_etcd::api::*;
-use ravenspar_etcd::{prefix_end, Client, Committed, Fault, Guarded};
+use ravenspar_etcd::{prefix_end, Client, CommitOutcome, FencedTransaction, StoreError};
 use ravenspar_standin::store::{Faults, Mvcc, Store};
 use ravenspar_standin::SECOND;
 
@@ -59,9 +59,16 @@
     assert_eq!(store.renew(3 * SECOND, 5), 0);
 }
 
-fn guarded(revision: u64, value: &str, key: &str) -> Guarded {
+fn guarded(revision: u64, value: &str, key: &str) -> FencedTransaction {
     let then = vec![ravenspar_store::put(key.into(), value.into(), 0)];
-    Guarded { witness: b"w".to_vec(), revision, value: value.into(), compare: Vec::new(), then, lease: 0 }
+    FencedTransaction {
+        witness: b"w".to_vec(),
+        revision,
+        value: value.into(),
+        compare: Vec::new(),
+        then,
+        lease: 0,
+    }
 }
 
 async fn client(store: &Store) -> Client {
@@ -91,16 +98,16 @@
         let store = Store::new(1);
         let client = client(&store).await;
         client.range(all("x")).await.expect("read");
-        let Ok(Committed::Yes { witness }) = client.commit(&guarded(0, "one", "k"), 4).await else {
+        let Ok(CommitOutcome::Committed { witness }) = client.commit(&guarded(0, "one", "k"), 4).await else {
             panic!("the first was not carried out")
         };
         store.set_faults(Faults { lose_answers: 1, ..Faults::default() });
         let committed = client.commit(&guarded(witness, "two", "k"), 4).await;
-        assert_eq!(committed, Ok(Committed::Yes { witness: witness + 1 }));
+        assert_eq!(committed, Ok(CommitOutcome::Committed { witness: witness + 1 }));
         assert_eq!(store.get(b"k"), Some((b"two".to_vec(), witness as i64 + 1)));
         // A witness that has moved: not carried out, and its revision is told.
         let committed = client.commit(&guarded(witness, "three", "k"), 4).await;
-        assert_eq!(committed, Ok(Committed::No { witness: witness + 1 }));
+        assert_eq!(committed, Ok(CommitOutcome::Aborted { witness: witness + 1 }));
     });
 }
 
@@ -114,7 +121,7 @@
         let late_by = Duration::from_millis(400);
         store.set_faults(Faults { late: 1, late_by, ..Faults::default() });
         let committed = client.commit(&guarded(0, "one", "k"), 4).await;
-        assert!(matches!(committed, Ok(Committed::No { .. })), "{committed:?}");
+        assert!(matches!(committed, Ok(CommitOutcome::Aborted { .. })), "{committed:?}");
         assert_eq!(store.get(b"k"), None);
         tokio::time::sleep(2 * late_by).await;
         assert_eq!(store.get(b"k"), None, "it came after all");
@@ -129,7 +136,7 @@
         client.range(all("x")).await.expect("read");
         // Slower than the deadline: nothing is known of the transaction, nor of its fences.
         store.set_faults(Faults { slow: Duration::from_millis(700), ..Faults::default() });
-        assert!(matches!(client.commit(&guarded(0, "one", "k"), 1).await, Err(Fault::Unknown(_))));
+        assert!(matches!(client.commit(&guarded(0, "one", "k"), 1).await, Err(StoreError::Unknown(_))));
         store.set_faults(Faults { away: true, ..Faults::default() });
         let began = Instant::now();
         assert!(client.range(all("x")).await.is_err());
@@ -146,7 +153,7 @@
         let client = client(&store).await;
         store.set_faults(Faults { lose_answers: 1, ..Faults::default() });
         assert_eq!(client.lease_grant(77, 5).await, Ok(5), "the repeat finds its own");
-        assert!(matches!(client.lease_grant(77, 5).await, Err(Fault::Refused(_))), "somebody else's");
+        assert!(matches!(client.lease_grant(77, 5).await, Err(StoreError::Refused(_))), "somebody else's");
         assert_eq!(client.keep_alive(77).await, Ok(Some(5)));
         store.lose_lease(77);
         assert_eq!(client.keep_alive(77).await, Ok(None));
