--- a/crates/debt/src/facts.rs
+++ b/crates/debt/src/facts.rs
@@ -30,7 +30,7 @@
     folded: std::collections::BTreeSet<Key>,
     max_leases: usize,
     /// Facts dropped at the bound; their source reports them again.
-    pub left_out: u64,
+    pub dropped: u64,
 }
 
 impl Facts {
@@ -57,7 +57,7 @@
             return Some(changed);
         }
         if self.facts.len() >= self.max_leases {
-            self.left_out += 1;
+            self.dropped += 1;
             return None;
         }
         self.facts.insert(key, fact);
--- a/crates/debt/src/ledger.rs
+++ b/crates/debt/src/ledger.rs
@@ -250,7 +250,7 @@
     /// Returns a user's debt. Each level is normalised by itself: the group's part of all use against its share among
     /// groups with any use, and the user's part of its group's use against its share in the group; the debt is the
     /// product of the two. A user without a total owes nothing, unless its weight is 0.
-    pub fn owes(&self, user: &str) -> u64 {
+    pub fn debt_of(&self, user: &str) -> u64 {
         let Some(sum) = self.users.get(user) else {
             return if self.user_weight(user) == 0 { u64::MAX } else { 0 };
         };
@@ -265,7 +265,7 @@
 
     /// Returns roughly what a lease of mean use adds to the debt of a user with an even share: the estimate for a job
     /// that is still running.
-    pub fn step(&self) -> u64 {
+    pub fn mean_lease_debt(&self) -> u64 {
         let all = self.all.decayed_to(self.epoch, self.shares.half_life);
         if all == 0 {
             return 1 << 20;
@@ -276,7 +276,7 @@
 
     /// All users by debt, the lowest first, ties by name.
     pub fn rank(&self) -> Vec<UserDebt> {
-        let user_debt = |user: &String| UserDebt { user: user.clone(), debt: self.owes(user) };
+        let user_debt = |user: &String| UserDebt { user: user.clone(), debt: self.debt_of(user) };
         let mut all: Vec<UserDebt> = self.users.keys().map(user_debt).collect();
         all.sort_by(|a, b| (a.debt, &a.user).cmp(&(b.debt, &b.user)));
         all
--- a/crates/debt/src/lib.rs
+++ b/crates/debt/src/lib.rs
@@ -12,7 +12,7 @@
 
 pub use facts::{Fact, Facts, Key};
 pub use ledger::{Ledger, Shares, Total, UserDebt};
-pub use tracker::{Books, EpochRow, Fold, Sums, UseRow};
+pub use tracker::{DebtTracker, EpochRow, Fold, Totals, UseRow};
 
 /// Server time used, in units of 0.1 ms.
 pub type ServerTime = u64;
--- a/crates/debt/src/tracker.rs
+++ b/crates/debt/src/tracker.rs
@@ -19,7 +19,7 @@
 
 impl UseRow {
     /// Returns the entry merged with a reported fact, or `None` if the fact changes nothing.
-    pub fn heard(row: Option<&UseRow>, fact: &Fact) -> Option<UseRow> {
+    pub fn merge(row: Option<&UseRow>, fact: &Fact) -> Option<UseRow> {
         match row {
             None => Some(UseRow { fact: fact.clone(), folded: false }),
             Some(row) if row.folded => None,
@@ -51,7 +51,7 @@
 
 /// Totals of users and of groups, by name.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Sums {
+pub struct Totals {
     pub users: Vec<(String, Total)>,
     pub groups: Vec<(String, Total)>,
 }
@@ -63,7 +63,7 @@
     pub uses: Vec<(Key, u64, UseRow)>,
     /// Folded uses to delete, as they are below the floor.
     pub gone: Vec<Key>,
-    pub sums: Sums,
+    pub totals: Totals,
     /// The revision that the epoch's entry must have. If it has, the totals are as the leader knows them.
     pub seen: u64,
     pub epoch: EpochRow,
@@ -71,7 +71,7 @@
 
 /// One steward's view of debts, and the leader's state while it leads the duty.
 #[derive(Clone, Debug)]
-pub struct Books {
+pub struct DebtTracker {
     /// The totals of the newest published epoch, which all stewards rank by.
     published: Ledger,
     row: Option<(u64, EpochRow)>,
@@ -79,7 +79,7 @@
     /// Published entries that were older than the one known already.
     pub stale_epochs: u64,
     /// How often the totals did not match the digest published with them.
-    pub differs: u64,
+    pub digest_mismatches: u64,
 }
 
 /// The leader's state: uses that are folded and uses that are not, and the totals including the folds under way.
@@ -95,7 +95,7 @@
     stale: bool,
 }
 
-impl Books {
+impl DebtTracker {
     /// Uses folded in one transaction. Each is written, and so are its user's total and its group's.
     const USES_PER_FOLD: usize = 30;
 
@@ -103,8 +103,14 @@
     /// disks after days without contact.
     const MAX_FOLDED_USES: usize = 20_000;
 
-    pub fn new(shares: Shares) -> Books {
-        Books { published: Ledger::new(shares), row: None, leader: None, stale_epochs: 0, differs: 0 }
+    pub fn new(shares: Shares) -> DebtTracker {
+        DebtTracker {
+            published: Ledger::new(shares),
+            row: None,
+            leader: None,
+            stale_epochs: 0,
+            digest_mismatches: 0,
+        }
     }
 
     /// The epoch of the ranking in use; 0 if there is none yet.
@@ -129,23 +135,23 @@
 
     /// Applies a published entry with the totals that changed since the last known one, as they are at its revision.
     /// Returns true if it is newer than the last known one; an older one is ignored.
-    pub fn published(&mut self, revision: u64, row: EpochRow, sums: Sums) -> bool {
+    pub fn apply_published(&mut self, revision: u64, row: EpochRow, totals: Totals) -> bool {
         if let Some((known, old)) = &self.row {
             if *known >= revision || old.epoch > row.epoch {
                 self.stale_epochs += u64::from(*known > revision || old.epoch > row.epoch);
                 return false;
             }
         }
-        apply_epoch(&mut self.published, &row, &sums);
+        apply_epoch(&mut self.published, &row, &totals);
         if hex(&self.published.digest()) != row.digest {
-            self.differs += 1;
+            self.digest_mismatches += 1;
         }
         self.row = Some((revision, row));
         true
     }
 
-    /// This steward becomes the leader of the duty. It knows no uses as a leader yet: [`Books::used`] takes them.
-    pub fn begin(&mut self, term: u64) {
+    /// This steward becomes the leader of the duty. It knows no uses as a leader yet: [`DebtTracker::used`] takes them.
+    pub fn start_leading(&mut self, term: u64) {
         self.leader = Some(LeaderState {
             term,
             ledger: self.published.clone(),
@@ -158,18 +164,18 @@
     }
 
     /// This steward doesn't lead the duty any more.
-    pub fn end(&mut self) {
+    pub fn stop_leading(&mut self) {
         self.leader = None;
     }
 
     /// Returns true if all uses must be read again.
-    pub fn is_stale(&self) -> bool {
+    pub fn needs_reload(&self) -> bool {
         self.leader.as_ref().is_some_and(|leader| leader.stale)
     }
 
-    /// Forgets the leader's uses before all of them are passed to [`Books::used`] again, as read at one revision
+    /// Forgets the leader's uses before all of them are passed to [`DebtTracker::used`] again, as read at one revision
     /// together with the newest published entry. That entry is applied already.
-    pub fn all_uses(&mut self) {
+    pub fn reset_uses(&mut self) {
         let ledger = self.published.clone();
         if let Some(leader) = &mut self.leader {
             (leader.stale, leader.ledger) = (false, ledger);
@@ -235,7 +241,7 @@
         let floor = if all { floor } else { row.floor };
         leader.ledger.epoch += u64::from(epoch && leader.ended_uses.len() <= uses.len());
         let ledger = &leader.ledger;
-        let sums = Sums {
+        let totals = Totals {
             users: users
                 .into_iter()
                 .filter_map(|user| Some((ledger.user(&user)?.clone(), user)))
@@ -257,12 +263,12 @@
             floor,
         };
         leader.fold_pending = true;
-        Some(Fold { uses, gone, sums, seen, epoch })
+        Some(Fold { uses, gone, totals, seen, epoch })
     }
 
     /// Completes a fold: `revision` is set if it was carried out. If not, another leader has folded or a use has
     /// grown, and all uses must be read again.
-    pub fn done(&mut self, fold: Fold, revision: Option<u64>) {
+    pub fn complete(&mut self, fold: Fold, revision: Option<u64>) {
         let Some(leader) = &mut self.leader else { return };
         leader.fold_pending = false;
         let Some(revision) = revision else {
@@ -275,11 +281,11 @@
             leader.folded.insert(key.clone(), revision);
         }
         fold.gone.iter().for_each(|key| _ = leader.folded.remove(key));
-        self.published(revision, fold.epoch, fold.sums);
+        self.apply_published(revision, fold.epoch, fold.totals);
     }
 
     /// The number of uses that wait to be folded, and of folded ones that are kept.
-    pub fn open(&self) -> (usize, usize) {
+    pub fn use_counts(&self) -> (usize, usize) {
         self.leader.as_ref().map_or((0, 0), |leader| (leader.open_uses.len(), leader.folded.len()))
     }
 }
@@ -288,9 +294,9 @@
     (name, sum)
 }
 
-fn apply_epoch(ledger: &mut Ledger, row: &EpochRow, sums: &Sums) {
-    sums.users.iter().for_each(|(user, sum)| ledger.set_user(user, sum.clone()));
-    sums.groups.iter().for_each(|(group, sum)| ledger.set_group(group, sum.clone()));
+fn apply_epoch(ledger: &mut Ledger, row: &EpochRow, totals: &Totals) {
+    totals.users.iter().for_each(|(user, sum)| ledger.set_user(user, sum.clone()));
+    totals.groups.iter().for_each(|(group, sum)| ledger.set_group(group, sum.clone()));
     ledger.set_all(row.all.clone());
     (ledger.epoch, ledger.leases, ledger.used) = (row.epoch, row.leases, row.used);
 }
@@ -303,8 +309,8 @@
 mod tests {
     use super::*;
 
-    fn tracker() -> Books {
-        Books::new(Shares { groups: BTreeMap::new(), users: BTreeMap::new(), other: 1, half_life: 4 })
+    fn tracker() -> DebtTracker {
+        DebtTracker::new(Shares { groups: BTreeMap::new(), users: BTreeMap::new(), other: 1, half_life: 4 })
     }
 
     fn ended(user: &str, used: ServerTime) -> UseRow {
@@ -334,25 +340,25 @@
             for (key, _, row) in &fold.uses {
                 self.uses.insert(key.clone(), (self.revision, row.clone()));
             }
-            self.users.extend(fold.sums.users.iter().cloned());
-            self.groups.extend(fold.sums.groups.iter().cloned());
+            self.users.extend(fold.totals.users.iter().cloned());
+            self.groups.extend(fold.totals.groups.iter().cloned());
             self.epoch = (self.revision, fold.epoch.clone());
             Some(self.revision)
         }
 
-        fn sums(&self) -> Sums {
+        fn totals(&self) -> Totals {
             let all = |of: &BTreeMap<String, Total>| {
                 of.iter().map(|(name, sum)| (name.clone(), sum.clone())).collect()
             };
-            Sums { users: all(&self.users), groups: all(&self.groups) }
+            Totals { users: all(&self.users), groups: all(&self.groups) }
         }
 
-        fn read_into(&self, tracker: &mut Books) {
+        fn read_into(&self, tracker: &mut DebtTracker) {
             if self.epoch.0 > 0 {
-                tracker.published(self.epoch.0, self.epoch.1.clone(), self.sums());
+                tracker.apply_published(self.epoch.0, self.epoch.1.clone(), self.totals());
             }
-            if tracker.is_stale() {
-                tracker.all_uses();
+            if tracker.needs_reload() {
+                tracker.reset_uses();
             }
             self.uses.iter().for_each(|(key, (at, row))| tracker.used(key.clone(), row.clone(), *at));
         }
@@ -364,31 +370,31 @@
         store.uses.insert((7, "x".to_owned()), (5, ended("a", 640)));
         store.uses.insert((7, "y".to_owned()), (6, ended("b", 100)));
         let (mut one, mut two) = (tracker(), tracker());
-        one.begin(3);
+        one.start_leading(3);
         store.read_into(&mut one);
-        two.begin(4);
+        two.start_leading(4);
         store.read_into(&mut two);
         // Both fold the same uses: the comparisons of the second transaction fail, and its steward reads the store
         // again.
         let (a, b) = (one.next(false).expect("a fold"), two.next(false).expect("a fold"));
         let done = store.fold(&b);
         assert!(done.is_some());
-        two.done(b, done);
+        two.complete(b, done);
         let late = store.fold(&a);
         assert_eq!(late, None);
-        one.done(a, late);
-        assert!(one.is_stale() && one.next(false).is_none());
+        one.complete(a, late);
+        assert!(one.needs_reload() && one.next(false).is_none());
         store.read_into(&mut one);
         assert_eq!(one.next(false), None);
         assert_eq!((store.epoch.1.leases, store.epoch.1.used), (2, 740));
-        assert_eq!((one.ledger().digest(), one.differs), (two.ledger().digest(), 0));
+        assert_eq!((one.ledger().digest(), one.digest_mismatches), (two.ledger().digest(), 0));
     }
 
     #[test]
     fn stewards_agree_on_a_digest_and_never_return_to_an_older_epoch() {
         let mut store = StoreModel { revision: 10, ..StoreModel::default() };
         let (mut leader, mut other) = (tracker(), tracker());
-        leader.begin(3);
+        leader.start_leading(3);
         let mut before = None;
         for round in 0..20u64 {
             for n in 0..40 {
@@ -401,14 +407,14 @@
                 let fold = leader.next(true).expect("a fold");
                 let done = store.fold(&fold);
                 assert!(done.is_some());
-                leader.done(fold, done);
+                leader.complete(fold, done);
             }
             let (at, row) = store.epoch.clone();
-            assert!(other.published(at, row, store.sums()));
+            assert!(other.apply_published(at, row, store.totals()));
             if let Some((at, row)) = before.replace(store.epoch.clone()) {
-                assert!(!other.published(at, row, Sums::default()), "an older epoch is ignored");
+                assert!(!other.apply_published(at, row, Totals::default()), "an older epoch is ignored");
             }
-            assert_eq!((other.epoch(), other.differs), (round + 1, 0));
+            assert_eq!((other.epoch(), other.digest_mismatches), (round + 1, 0));
             assert_eq!(other.ledger().digest(), leader.ledger().digest());
             assert_eq!(other.ledger().rank(), leader.ledger().rank());
         }
@@ -417,10 +423,10 @@
 
     #[test]
     fn reports_of_a_folded_lease_are_ignored() {
-        let row = UseRow::heard(None, &ended("a", 5).fact).expect("a new use");
-        assert_eq!(UseRow::heard(Some(&row), &ended("a", 5).fact), None);
-        assert_eq!(UseRow::heard(Some(&row), &ended("a", 6).fact).map(|row| row.fact.used), Some(6));
+        let row = UseRow::merge(None, &ended("a", 5).fact).expect("a new use");
+        assert_eq!(UseRow::merge(Some(&row), &ended("a", 5).fact), None);
+        assert_eq!(UseRow::merge(Some(&row), &ended("a", 6).fact).map(|row| row.fact.used), Some(6));
         let folded = UseRow { folded: true, ..row };
-        assert_eq!(UseRow::heard(Some(&folded), &ended("a", 9).fact), None);
+        assert_eq!(UseRow::merge(Some(&folded), &ended("a", 9).fact), None);
     }
 }
--- a/crates/debt/tests/debt.rs
+++ b/crates/debt/tests/debt.rs
@@ -88,7 +88,7 @@
 fn facts_past_the_bound_are_dropped_and_counted() {
     let mut facts = Facts::new(2);
     (0..3).for_each(|key| _ = facts.take(lease(key), fact(1, 1, false)));
-    assert_eq!((facts.len(), facts.left_out), (2, 1));
+    assert_eq!((facts.len(), facts.dropped), (2, 1));
 }
 
 #[test]
@@ -104,7 +104,7 @@
     assert!((a / b - 1.0).abs() < 1e-6, "{owed:?}");
     // A user that returns after months owes nothing, however much it used.
     ledger.epoch += 2_000;
-    assert_eq!((ledger.owes("old"), ledger.owes("never seen")), (0, 0));
+    assert_eq!((ledger.debt_of("old"), ledger.debt_of("never seen")), (0, 0));
 }
 
 #[test]
@@ -130,9 +130,9 @@
 #[test]
 fn default_shares_treat_users_alike() {
     let mut ledger = Ledger::new(Shares::default());
-    assert_eq!((ledger.owes("a"), ledger.owes("b")), (0, 0));
+    assert_eq!((ledger.debt_of("a"), ledger.debt_of("b")), (0, 0));
     ledger.add("a", "", 10);
-    assert!(ledger.owes("a") > 0 && ledger.owes("b") == 0);
+    assert!(ledger.debt_of("a") > 0 && ledger.debt_of("b") == 0);
 }
 
 #[test]
--- a/crates/debt/tests/explore.rs
+++ b/crates/debt/tests/explore.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use ravenspar_debt::{Books, EpochRow, Fact, Fold, Key, Ledger, Shares, Sums, Total, UseRow};
+use ravenspar_debt::{DebtTracker, EpochRow, Fact, Fold, Key, Ledger, Shares, Total, Totals, UseRow};
 
 const STEWARDS: usize = 3;
 const LEASES: u64 = 6;
@@ -39,7 +39,7 @@
 struct World {
     without: Without,
     store: StoreModel,
-    trackers: Vec<Books>,
+    trackers: Vec<DebtTracker>,
     leader: Option<usize>,
     term: u64,
     /// Folds on their way to the store, possibly of former leaders.
@@ -55,7 +55,7 @@
         World {
             without,
             store: StoreModel { revision: 10, ..StoreModel::default() },
-            trackers: (0..STEWARDS).map(|_| Books::new(shares())).collect(),
+            trackers: (0..STEWARDS).map(|_| DebtTracker::new(shares())).collect(),
             leader: None,
             term: 0,
             pending_folds: Vec::new(),
@@ -67,13 +67,13 @@
     fn read_store(&mut self, n: usize) {
         let all =
             |of: &BTreeMap<String, Total>| of.iter().map(|(name, sum)| (name.clone(), sum.clone())).collect();
-        let sums = Sums { users: all(&self.store.users), groups: all(&self.store.groups) };
+        let totals = Totals { users: all(&self.store.users), groups: all(&self.store.groups) };
         let tracker = &mut self.trackers[n];
         if self.store.epoch.0 > 0 {
-            tracker.published(self.store.epoch.0, self.store.epoch.1.clone(), sums);
+            tracker.apply_published(self.store.epoch.0, self.store.epoch.1.clone(), totals);
         }
-        if tracker.is_stale() {
-            tracker.all_uses();
+        if tracker.needs_reload() {
+            tracker.reset_uses();
         }
         self.store.uses.iter().for_each(|(key, (at, row))| tracker.used(key.clone(), row.clone(), *at));
     }
@@ -92,12 +92,12 @@
                 }
             }
             fold.gone.iter().for_each(|key| _ = self.store.uses.remove(key));
-            self.store.users.extend(fold.sums.users.iter().cloned());
-            self.store.groups.extend(fold.sums.groups.iter().cloned());
+            self.store.users.extend(fold.totals.users.iter().cloned());
+            self.store.groups.extend(fold.totals.groups.iter().cloned());
             self.store.epoch = (self.store.revision, fold.epoch.clone());
             self.store.revision
         });
-        self.trackers[n].done(fold, done);
+        self.trackers[n].complete(fold, done);
     }
 
     fn apply_report(&mut self, key: Key, fact: Fact, read: Option<Row>) {
@@ -108,7 +108,7 @@
                 let used = row.fact.used + fact.used;
                 Some(UseRow { fact: Fact { used, ..fact }, folded: false })
             }
-            read_entry => UseRow::heard(read_entry, &fact),
+            read_entry => UseRow::merge(read_entry, &fact),
         };
         // The entry must be as it was read.
         if now.map_or(0, |row| row.0) != read.as_ref().map_or(0, |row| row.0) {
@@ -163,8 +163,8 @@
                 let n = rng.usize(0..STEWARDS);
                 self.term += 1;
                 self.leader = Some(n);
-                self.trackers[n].end();
-                self.trackers[n].begin(self.term);
+                self.trackers[n].stop_leading();
+                self.trackers[n].start_leading(self.term);
             }
             _ => {}
         }
@@ -175,8 +175,8 @@
         self.pending_folds.clear();
         self.pending_reports.clear();
         (self.term, self.leader) = (self.term + 1, Some(0));
-        self.trackers[0].end();
-        self.trackers[0].begin(self.term);
+        self.trackers[0].stop_leading();
+        self.trackers[0].start_leading(self.term);
         self.actual_uses.values_mut().for_each(|fact| fact.last = true);
         for (key, fact) in self.actual_uses.clone() {
             let read = self.store.uses.get(&key).cloned();
@@ -203,7 +203,7 @@
         }
         let first = self.trackers[0].ledger();
         for tracker in &self.trackers {
-            if tracker.differs > 0
+            if tracker.digest_mismatches > 0
                 || tracker.ledger().digest() != first.digest()
                 || tracker.ledger().rank() != first.rank()
             {
@@ -257,7 +257,7 @@
         let digest = ledger.digest();
         let digested = began.elapsed();
         let began = std::time::Instant::now();
-        let owes: u128 = (0..1_000).map(|user| u128::from(ledger.owes(&format!("user-{user:06}")))).sum();
+        let owes: u128 = (0..1_000).map(|user| u128::from(ledger.debt_of(&format!("user-{user:06}")))).sum();
         let asked = began.elapsed();
         let began = std::time::Instant::now();
         let rank = ledger.rank();
--- a/crates/duty/src/duties.rs
+++ b/crates/duty/src/duties.rs
@@ -7,7 +7,7 @@
 /// A member of the fleet, as the store has it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     pub leaving: bool,
     /// The member reports itself unfit for duties: it is slow, or reaches far fewer sites than other members do.
     pub poor: bool,
@@ -16,18 +16,18 @@
 /// The leader of a duty and its term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Claim {
-    pub owner: Incarnation,
+    pub leader: Incarnation,
     pub term: Term,
 }
 
-/// A write at the store. The next one is returned only after [`Duties::done`] for this one.
+/// A write at the store. The next one is returned only after [`Duties::complete`] for this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Step {
     /// Write the claim for this incarnation, bound to its membership, if there is no claim.
     Claim { duty: Duty },
     /// Write the claim for another member, bound to that member's membership, if the claim has this term and the
     /// other is a member. This steward stops acting on the duty as soon as the step is returned.
-    Give { duty: Duty, term: Term, to: Incarnation },
+    HandOver { duty: Duty, term: Term, to: Incarnation },
 }
 
 /// One steward's view of the duties: what it leads, and what it should claim or hand over.
@@ -69,15 +69,15 @@
 
     /// Takes over a snapshot of the store at one revision: all members, and the claim of each duty. A duty of this
     /// incarnation whose claim is gone or names another member is lost at once.
-    pub fn seen(&mut self, members: Vec<Member>, claims: &[Option<Claim>]) {
+    pub fn update_snapshot(&mut self, members: Vec<Member>, claims: &[Option<Claim>]) {
         self.members = members;
-        self.members.sort_by_key(|member| member.life);
+        self.members.sort_by_key(|member| member.incarnation);
         for (duty, claim) in claims.iter().enumerate().take(self.claims.len()) {
             // A snapshot read before the pending step completed may be older than its outcome.
             if self.pending == Some(duty) {
                 continue;
             }
-            let term = claim.filter(|claim| claim.owner == self.me).map(|claim| claim.term);
+            let term = claim.filter(|claim| claim.leader == self.me).map(|claim| claim.term);
             let older = |claim: &Claim| self.own_terms[duty].is_some_and(|own_term| claim.term < own_term);
             if claim.as_ref().is_some_and(older) {
                 continue;
@@ -86,7 +86,7 @@
                 self.changes += 1;
                 self.own_terms[duty] = term;
             }
-            if self.claims[duty].map(|claim| claim.owner) != claim.map(|claim| claim.owner) {
+            if self.claims[duty].map(|claim| claim.leader) != claim.map(|claim| claim.leader) {
                 self.misplaced_since[duty] = None;
             }
             self.claims[duty] = *claim;
@@ -99,16 +99,17 @@
     }
 
     /// Returns true if the incarnation was a member in the last snapshot.
-    pub fn is_member(&self, life: Incarnation) -> bool {
-        self.members.iter().any(|member| member.life == life)
+    pub fn is_member(&self, incarnation: Incarnation) -> bool {
+        self.members.iter().any(|member| member.incarnation == incarnation)
     }
 
     /// The members that duties are assigned to: those that stay and are fit, or all that stay if none of them is fit.
     fn candidates(&self) -> Vec<Incarnation> {
         let stay = || self.members.iter().filter(|member| !member.leaving);
-        let well: Vec<Incarnation> = stay().filter(|member| !member.poor).map(|member| member.life).collect();
+        let well: Vec<Incarnation> =
+            stay().filter(|member| !member.poor).map(|member| member.incarnation).collect();
         if well.is_empty() {
-            stay().map(|member| member.life).collect()
+            stay().map(|member| member.incarnation).collect()
         } else {
             well
         }
@@ -122,19 +123,23 @@
             return vec![None; self.claims.len()];
         }
         let max_per_member = self.claims.len().div_ceil(candidates.len());
-        let mut counts: BTreeMap<Incarnation, usize> = candidates.iter().map(|&life| (life, 0)).collect();
+        let mut counts: BTreeMap<Incarnation, usize> =
+            candidates.iter().map(|&incarnation| (incarnation, 0)).collect();
         let mut assignment = vec![None; self.claims.len()];
         for (leader, claim) in assignment.iter_mut().zip(&self.claims) {
             let Some(claim) = claim else { continue };
-            if let Some(count) = counts.get_mut(&claim.owner).filter(|count| **count < max_per_member) {
+            if let Some(count) = counts.get_mut(&claim.leader).filter(|count| **count < max_per_member) {
                 *count += 1;
-                *leader = Some(claim.owner);
+                *leader = Some(claim.leader);
             }
         }
         for leader in assignment.iter_mut().filter(|leader| leader.is_none()) {
             // There is at least one candidate; ties go to the lowest incarnation.
-            let fewest = counts.iter().min_by_key(|(life, count)| (**count, **life)).map(|(life, _)| *life);
-            if let Some(count) = fewest.and_then(|life| counts.get_mut(&life)) {
+            let fewest = counts
+                .iter()
+                .min_by_key(|(incarnation, count)| (**count, **incarnation))
+                .map(|(incarnation, _)| *incarnation);
+            if let Some(count) = fewest.and_then(|incarnation| counts.get_mut(&incarnation)) {
                 *count += 1;
             }
             *leader = fewest;
@@ -148,10 +153,10 @@
         if self.pending.is_some() || !self.is_member(self.me) {
             return None;
         }
-        if let Some(me) = self.members.iter_mut().find(|member| member.life == self.me) {
+        if let Some(me) = self.members.iter_mut().find(|member| member.incarnation == self.me) {
             me.leaving |= leaving;
         }
-        let leaving = self.members.iter().any(|member| member.life == self.me && member.leaving);
+        let leaving = self.members.iter().any(|member| member.incarnation == self.me && member.leaving);
         let assignment = self.assignment();
         for (duty, to) in assignment.into_iter().enumerate() {
             let Some(to) = to else { continue };
@@ -162,7 +167,7 @@
                     if !leaving && now < since + Self::HAND_OVER_DELAY {
                         continue;
                     }
-                    Step::Give { duty, term, to }
+                    Step::HandOver { duty, term, to }
                 }
                 _ => {
                     self.misplaced_since[duty] = None;
@@ -170,7 +175,7 @@
                 }
             };
             self.pending = Some(duty);
-            if matches!(step, Step::Give { .. }) {
+            if matches!(step, Step::HandOver { .. }) {
                 // Given up before the hand-over is written: no effect of this duty is sent from here on.
                 self.own_terms[duty] = None;
                 self.changes += 1;
@@ -182,16 +187,16 @@
 
     /// Completes a step: `term` is the claim's revision if the step was carried out. If it was not, the next snapshot
     /// shows why.
-    pub fn done(&mut self, step: Step, term: Option<Term>) {
+    pub fn complete(&mut self, step: Step, term: Option<Term>) {
         self.pending = None;
-        let (duty, owner) = match step {
+        let (duty, leader) = match step {
             Step::Claim { duty } => (duty, self.me),
-            Step::Give { duty, to, .. } => (duty, to),
+            Step::HandOver { duty, to, .. } => (duty, to),
         };
         self.misplaced_since[duty] = None;
         if let Some(term) = term {
-            self.claims[duty] = Some(Claim { owner, term });
-            if owner == self.me {
+            self.claims[duty] = Some(Claim { leader, term });
+            if leader == self.me {
                 self.own_terms[duty] = Some(term);
                 self.changes += 1;
             }
--- a/crates/duty/src/lib.rs
+++ b/crates/duty/src/lib.rs
@@ -2,8 +2,8 @@
 //! no clock; the caller passes in the times.
 //!
 //! [`Duties`] reads members and claims from snapshots of the store and decides which claim to write or hand
-//! over next. [`Tenure`] is a steward's own claim of a duty. Every effect needs a [`Warrant`] made from it,
-//! which can't outlive the membership. [`Taker`] is the receiving end: it keeps the highest term of each
+//! over next. [`Leadership`] is a steward's own claim of a duty. Every effect needs a [`Permit`] made from it,
+//! which can't outlive the membership. [`EffectReceiver`] is the receiving end: it keeps the highest term of each
 //! duty and refuses effects under lower ones. `docs/design/duties.md` has the reasoning.
 
 mod duties;
@@ -12,9 +12,9 @@
 mod permit;
 
 pub use duties::{Claim, Duties, Member, Step};
-pub use effect_receiver::{Refused, Taken, Taker};
+pub use effect_receiver::{EffectOutcome, EffectReceiver, Refused};
 pub use pace::Pace;
-pub use permit::{Tenure, Warrant};
+pub use permit::{Leadership, Permit};
 pub use ravenspar_sharing::{Incarnation, Time};
 
 /// The store revision of a duty's claim. It grows with each new leader of the duty.
--- a/crates/duty/src/pace.rs
+++ b/crates/duty/src/pace.rs
@@ -23,7 +23,7 @@
     const RECOVERED_BELOW: Time = 100;
 
     /// Schedules a tick one interval from `now` and returns when it is due.
-    pub fn asks(&mut self, now: Time) -> Time {
+    pub fn schedule_tick(&mut self, now: Time) -> Time {
         let due = now + Self::TICK;
         self.scheduled = Some((now, due));
         due
@@ -31,7 +31,7 @@
 
     /// Records that the process runs. A due tick counts by how late it is, and a long pause counts as several ticks.
     /// Returns true if the process is slow.
-    pub fn runs(&mut self, now: Time) -> bool {
+    pub fn record_wakeup(&mut self, now: Time) -> bool {
         if let Some((since, due)) = self.scheduled.filter(|(_, due)| now >= *due) {
             self.scheduled = None;
             let share = 1_000 * (now - due) / (now - since).max(1);
@@ -45,7 +45,7 @@
     }
 
     /// Returns true if a tick is scheduled.
-    pub fn is_asked(&self) -> bool {
+    pub fn is_scheduled(&self) -> bool {
         self.scheduled.is_some()
     }
 }
@@ -60,17 +60,17 @@
         for cycle in 0..max_cycles {
             let until = now + run_for;
             while now < until {
-                let due = pace.asks(now);
+                let due = pace.schedule_tick(now);
                 now = due.min(until);
                 if now < due {
                     break;
                 }
-                if pace.runs(now) {
+                if pace.record_wakeup(now) {
                     return Some(cycle);
                 }
             }
             now = until + pause_for;
-            if pace.runs(now) {
+            if pace.record_wakeup(now) {
                 return Some(cycle);
             }
         }
@@ -89,14 +89,14 @@
         let mut pace = Pace::default();
         let mut now = 0;
         for _ in 0..20 {
-            pace.asks(now);
+            pace.schedule_tick(now);
             now += 20 * Pace::TICK;
-            pace.runs(now);
+            pace.record_wakeup(now);
         }
-        assert!(pace.runs(now));
+        assert!(pace.record_wakeup(now));
         let since = now;
-        while pace.runs(now) {
-            now = pace.asks(now);
+        while pace.record_wakeup(now) {
+            now = pace.schedule_tick(now);
         }
         assert!((2 * Pace::AVERAGED_TICKS * Pace::TICK..8 * Pace::AVERAGED_TICKS * Pace::TICK)
             .contains(&(now - since)));
--- a/crates/jobs/src/job_agent.rs
+++ b/crates/jobs/src/job_agent.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use ravenspar_duty::{Refused, Taken, Taker};
+use ravenspar_duty::{EffectOutcome, EffectReceiver, Refused};
 use ravenspar_sharing::membership::Membership;
 
 use crate::{Ended, Incarnation, Time, Token};
@@ -16,13 +16,13 @@
 
 /// The result of an order to begin a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum OrderOutcome {
     /// Begin to work on it. With `record`, the order's term must be put on record first.
     Begin { record: bool },
     /// The job is held already under this token or a higher one, or has ended under it.
     Known,
     /// The order is for an incarnation that is over, or can't be carried out now.
-    Old,
+    Stale,
     /// Its term is lower than the highest known one, which this is.
     Refused(u64),
 }
@@ -30,8 +30,8 @@
 /// One agent. It has one incarnation after the other: each is a lease at the store, and ends for good if the agent
 /// could not renew it in time. The agent counts from when each renewal was *sent*.
 #[derive(Clone, Debug)]
-pub struct Holder {
-    life: Incarnation,
+pub struct JobAgent {
+    incarnation: Incarnation,
     membership: Membership,
     capacity: usize,
     held: BTreeMap<String, HeldJob>,
@@ -39,30 +39,30 @@
     outcomes: BTreeMap<(String, Token), Ended>,
     /// The highest token begun of each job. Tokens only grow, so that an order with this token or a lower one is old.
     highest_begun: BTreeMap<String, Token>,
-    effect_receiver: Taker<()>,
+    effect_receiver: EffectReceiver<()>,
 }
 
-impl Holder {
+impl JobAgent {
     /// The number of jobs whose highest token is remembered: far more than are held or on their way at a time. The
     /// oldest tokens go first; an order as old as that is for an incarnation that is over.
     const MAX_REMEMBERED_JOBS: usize = 10_000;
 
     /// `lease` is the lease of its incarnations at the store, `margin` the time that it takes to stop a job.
-    pub fn new(life: Incarnation, lease: Time, margin: Time, capacity: usize) -> Holder {
-        Holder {
-            life,
+    pub fn new(incarnation: Incarnation, lease: Time, margin: Time, capacity: usize) -> JobAgent {
+        JobAgent {
+            incarnation,
             membership: Membership::new(lease, margin),
             capacity,
             held: BTreeMap::new(),
             outcomes: BTreeMap::new(),
             highest_begun: BTreeMap::new(),
-            effect_receiver: Taker::new(1),
+            effect_receiver: EffectReceiver::new(1),
         }
     }
 
     /// The current incarnation.
-    pub fn life(&self) -> Incarnation {
-        self.life
+    pub fn incarnation(&self) -> Incarnation {
+        self.incarnation
     }
 
     /// Restores the term from the record after a restart.
@@ -71,7 +71,7 @@
     }
 
     /// Adds an outcome that is on record and was not accepted yet; the job is not held any more.
-    pub fn keep(&mut self, job: &str, token: Token, ended: Ended) {
+    pub fn add_outcome(&mut self, job: &str, token: Token, ended: Ended) {
         self.held.remove(job);
         self.outcomes.insert((job.to_owned(), token), ended);
     }
@@ -82,8 +82,8 @@
     }
 
     /// A renewal that was sent at `sent` for an incarnation was carried out.
-    pub fn renewed(&mut self, life: Incarnation, sent: Time) {
-        if life == self.life {
+    pub fn renewed(&mut self, incarnation: Incarnation, sent: Time) {
+        if incarnation == self.incarnation {
             self.membership.renewed(sent);
         }
     }
@@ -104,8 +104,13 @@
     }
 
     /// Ends the incarnation and begins `next`. Returns the jobs that were held, all of which must stop.
-    pub fn over(&mut self, next: Incarnation, lease: Time, margin: Time) -> Vec<(String, HeldJob)> {
-        self.life = next;
+    pub fn next_incarnation(
+        &mut self,
+        next: Incarnation,
+        lease: Time,
+        margin: Time,
+    ) -> Vec<(String, HeldJob)> {
+        self.incarnation = next;
         self.membership = Membership::new(lease, margin);
         std::mem::take(&mut self.held).into_iter().collect()
     }
@@ -115,25 +120,25 @@
         &mut self,
         now: Time,
         term: u64,
-        life: Incarnation,
+        incarnation: Incarnation,
         job: &str,
         token: Token,
         spec: &str,
-    ) -> Told {
+    ) -> OrderOutcome {
         let record = match self.effect_receiver.take((), term) {
-            Err(Refused { holds }) => return Told::Refused(holds),
-            Ok(taken) => taken == Taken::Record,
+            Err(Refused { highest_term }) => return OrderOutcome::Refused(highest_term),
+            Ok(effect_outcome) => effect_outcome == EffectOutcome::Record,
         };
-        if life != self.life || !self.may_work(now) {
-            return Told::Old;
+        if incarnation != self.incarnation || !self.may_work(now) {
+            return OrderOutcome::Stale;
         }
         if self.highest_begun.get(job).is_some_and(|&highest_begun| token <= highest_begun) {
-            return Told::Known;
+            return OrderOutcome::Known;
         }
         if self.held.len() >= self.capacity && !self.held.contains_key(job) {
             // The scheduler counted the agent's jobs differently. It sees this one as held, so the order is repeated
             // until there is capacity.
-            return Told::Old;
+            return OrderOutcome::Stale;
         }
         if self.highest_begun.len() >= Self::MAX_REMEMBERED_JOBS {
             let oldest =
@@ -142,7 +147,7 @@
         }
         self.highest_begun.insert(job.to_owned(), token);
         self.held.insert(job.to_owned(), HeldJob { token, spec: spec.to_owned() });
-        Told::Begin { record }
+        OrderOutcome::Begin { record }
     }
 
     /// Stops a job that is not this site's any more. Returns true if it was held under this token.
@@ -176,8 +181,8 @@
 
     const SECOND: Time = 10_000;
 
-    fn agent() -> Holder {
-        let mut agent = Holder::new(5, 4 * SECOND, SECOND / 2, 2);
+    fn agent() -> JobAgent {
+        let mut agent = JobAgent::new(5, 4 * SECOND, SECOND / 2, 2);
         agent.renewing(0);
         agent.renewed(5, 0);
         agent
@@ -190,23 +195,27 @@
         assert!(!agent.may_work(4 * SECOND - SECOND / 2), "it stops before its lease expires at the store");
         agent.renewed(6, 3 * SECOND);
         assert!(!agent.may_work(4 * SECOND), "a renewal of another incarnation doesn't count");
-        assert_eq!(agent.begin(4 * SECOND, 1, 5, "a", 7, ""), Told::Old);
+        assert_eq!(agent.begin(4 * SECOND, 1, 5, "a", 7, ""), OrderOutcome::Stale);
     }
 
     #[test]
     fn a_job_begins_once_per_token_and_never_by_an_older_order() {
         let mut agent = agent();
-        assert_eq!(agent.begin(0, 3, 5, "a", 70, "spec"), Told::Begin { record: true });
-        assert_eq!(agent.begin(0, 3, 5, "a", 70, "spec"), Told::Known);
-        assert_eq!(agent.begin(0, 2, 5, "b", 71, ""), Told::Refused(3));
-        assert_eq!(agent.begin(0, 3, 4, "b", 71, ""), Told::Old, "an order for an earlier incarnation");
+        assert_eq!(agent.begin(0, 3, 5, "a", 70, "spec"), OrderOutcome::Begin { record: true });
+        assert_eq!(agent.begin(0, 3, 5, "a", 70, "spec"), OrderOutcome::Known);
+        assert_eq!(agent.begin(0, 2, 5, "b", 71, ""), OrderOutcome::Refused(3));
+        assert_eq!(
+            agent.begin(0, 3, 4, "b", 71, ""),
+            OrderOutcome::Stale,
+            "an order for an earlier incarnation"
+        );
         assert!(agent.stop("a", 70));
         assert_eq!(
             agent.begin(0, 3, 5, "a", 70, ""),
-            Told::Known,
+            OrderOutcome::Known,
             "a stopped job doesn't begin again under its token"
         );
-        assert_eq!(agent.begin(0, 4, 5, "a", 80, ""), Told::Begin { record: true });
+        assert_eq!(agent.begin(0, 4, 5, "a", 80, ""), OrderOutcome::Begin { record: true });
         assert!(!agent.stop("a", 70));
         assert_eq!(agent.held().count(), 1);
     }
@@ -215,9 +224,9 @@
     fn outcomes_are_kept_across_incarnations_until_delivered() {
         let mut agent = agent();
         agent.begin(0, 1, 5, "a", 70, "");
-        agent.keep("a", 70, Ended::Done);
+        agent.add_outcome("a", 70, Ended::Done);
         assert_eq!(agent.held().count(), 0);
-        agent.over(6, SECOND, 0);
+        agent.next_incarnation(6, SECOND, 0);
         assert_eq!(agent.outcomes().collect::<Vec<_>>(), [("a", 70, &Ended::Done)]);
         agent.delivered("a", 70);
         assert_eq!(agent.outcomes().count(), 0);
--- a/crates/jobs/src/job_line.rs
+++ b/crates/jobs/src/job_line.rs
@@ -33,7 +33,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 /// The scheduling state of a job.
-pub struct Line {
+pub struct JobLine {
     pub state: State,
     /// The last token that it was leased under, other than the line's own revision; 0 if there is none.
     #[serde(default)]
@@ -49,10 +49,10 @@
     pub why: String,
 }
 
-impl Line {
+impl JobLine {
     /// A line of a job that was never leased.
-    pub fn new(state: State) -> Line {
-        Line { state, last: 0, attempts: 0, term: 0, why: String::new() }
+    pub fn new(state: State) -> JobLine {
+        JobLine { state, last: 0, attempts: 0, term: 0, why: String::new() }
     }
 
     /// Returns the token of the latest lease. `modified`: the line's revision.
@@ -86,7 +86,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// Write this line if it is still as it was read; the outcome is accepted only once that is done.
-    Accept(Line),
+    Accept(JobLine),
     /// It was accepted before.
     AlreadyAccepted,
     /// It is refused for good, with the reason.
@@ -96,7 +96,7 @@
 /// Decides on an outcome that bears a token. `line` is the job's line at the store and `modified` its revision.
 ///
 /// A late outcome, from a lease that has ended, is accepted if the job was not leased again since: the work is done.
-pub fn decide_outcome(line: &Line, modified: u64, token: Token, ended: &Ended) -> Verdict {
+pub fn decide_outcome(line: &JobLine, modified: u64, token: Token, ended: &Ended) -> Verdict {
     let last = line.token(modified);
     if token == 0 || token > last {
         return Verdict::Refused("the job was never given out under this token");
@@ -105,7 +105,13 @@
         return Verdict::Refused("the job was given out again since");
     }
     let accept = |state: State, why: &str| {
-        Verdict::Accept(Line { state, last, attempts: line.attempts, term: line.term, why: why.to_owned() })
+        Verdict::Accept(JobLine {
+            state,
+            last,
+            attempts: line.attempts,
+            term: line.term,
+            why: why.to_owned(),
+        })
     };
     match (line.state, ended) {
         (State::Done, Ended::Done) => Verdict::AlreadyAccepted,
@@ -125,8 +131,8 @@
 mod tests {
     use super::*;
 
-    fn leased() -> Line {
-        Line { attempts: 1, ..Line::new(State::Leased(5)) }
+    fn leased() -> JobLine {
+        JobLine { attempts: 1, ..JobLine::new(State::Leased(5)) }
     }
 
     #[test]
@@ -146,14 +152,14 @@
 
     #[test]
     fn a_late_outcome_is_accepted_unless_the_job_was_leased_again() {
-        let waiting = Line { state: State::Waiting, last: 70, ..leased() };
+        let waiting = JobLine { state: State::Waiting, last: 70, ..leased() };
         assert!(matches!(decide_outcome(&waiting, 90, 70, &Ended::Done), Verdict::Accept(_)));
         assert_eq!(
             decide_outcome(&waiting, 90, 70, &Ended::Failed("x".into())),
             Verdict::AlreadyAccepted,
             "the attempt is counted already"
         );
-        let leased_again = Line { state: State::Leased(6), last: 70, ..leased() };
+        let leased_again = JobLine { state: State::Leased(6), last: 70, ..leased() };
         assert_eq!(
             decide_outcome(&leased_again, 95, 70, &Ended::Done),
             Verdict::Refused("the job was given out again since")
@@ -163,7 +169,7 @@
 
     #[test]
     fn a_job_cancelled_while_leased_is_stopped_or_done() {
-        let cancelling = Line { state: State::Ending(5), last: 70, ..leased() };
+        let cancelling = JobLine { state: State::Ending(5), last: 70, ..leased() };
         let Verdict::Accept(line) = decide_outcome(&cancelling, 80, 70, &Ended::Stopped) else {
             panic!("refused")
         };
@@ -178,9 +184,9 @@
     #[test]
     fn a_line_survives_a_round_trip() {
         for state in [State::Waiting, State::Leased(u64::MAX), State::Ending(7), State::Done, State::Parked] {
-            let line = Line { why: "a \"reason\"".to_owned(), ..Line::new(state) };
+            let line = JobLine { why: "a \"reason\"".to_owned(), ..JobLine::new(state) };
             let text = serde_json::to_string(&line).expect("a line serialises");
-            assert_eq!(serde_json::from_str::<Line>(&text).expect("a line deserialises"), line);
+            assert_eq!(serde_json::from_str::<JobLine>(&text).expect("a line deserialises"), line);
         }
     }
 }
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -6,8 +6,8 @@
 //! its own at the store, which any steward renews on its behalf; a job is leased again only in a transaction that
 //! finds the site's key gone.
 //!
-//! [`Line`] is a job's line; [`Giver`] decides for the leader of the duty; [`Desk`] is a steward's
-//! end of the agents' sessions; [`decide_outcome`] decides on an outcome at any steward; [`Holder`]
+//! [`JobLine`] is a job's line; [`Scheduler`] decides for the leader of the duty; [`AgentSessions`] is a steward's
+//! end of the agents' sessions; [`decide_outcome`] decides on an outcome at any steward; [`JobAgent`]
 //! is the agent's side. `docs/design/jobs.md` has the reasoning.
 
 mod agent_sessions;
@@ -15,11 +15,11 @@
 mod job_line;
 mod scheduler;
 
-pub use agent_sessions::{Act, Desk, Hello, Metrics as DeskFigures};
-pub use job_agent::{HeldJob, Holder, Told};
-pub use job_line::{decide_outcome, Ended, Job, Line, State, Verdict};
+pub use agent_sessions::{Action, AgentSessions, Hello, Metrics as SessionMetrics};
+pub use job_agent::{HeldJob, JobAgent, OrderOutcome};
+pub use job_line::{decide_outcome, Ended, Job, JobLine, State, Verdict};
 pub use ravenspar_sharing::{Incarnation, Time};
-pub use scheduler::{Giver, Limits, Metrics, Site, Write};
+pub use scheduler::{Limits, Metrics, Scheduler, Site, Write};
 
 /// The revision of the write by which a job was leased to a site.
 pub type Token = u64;
--- a/crates/jobs/src/scheduler.rs
+++ b/crates/jobs/src/scheduler.rs
@@ -4,12 +4,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
-use crate::{Incarnation, Job, Line, State, Time};
+use crate::{Incarnation, Job, JobLine, State, Time};
 
 /// A site as the store has it. Its key exists as long as the lease of its incarnation does.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Site {
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     pub name: String,
     /// The number of jobs that it can run at a time.
     pub room: usize,
@@ -23,13 +23,13 @@
     /// How often a job is leased before it is parked.
     pub attempts: u32,
     /// The delay before the second attempt; it doubles with each further one.
-    pub again: Time,
+    pub retry_delay: Time,
     /// How long a site is cold after it was first seen: until then it gets a quarter of its capacity.
-    pub cold: Time,
+    pub cold_period: Time,
     /// How long leases are left alone after most sites were lost at once.
-    pub most_gone: Time,
+    pub mass_loss_delay: Time,
     /// A job that has waited this long goes first, whatever its user owes.
-    pub wait: Time,
+    pub max_wait: Time,
     /// The number of lines written in one transaction.
     pub writes: usize,
 }
@@ -40,7 +40,7 @@
     pub job: String,
     /// The line's revision; 0 if there is none.
     pub seen: u64,
-    pub line: Line,
+    pub line: JobLine,
     /// The site whose key must exist (the job is leased to it).
     pub there: Option<Incarnation>,
     /// The site whose key must be gone (its lease is ended).
@@ -74,7 +74,7 @@
     missing: bool,
     /// The revision at which it was submitted: its age.
     created: u64,
-    line: Option<(Line, u64)>,
+    line: Option<(JobLine, u64)>,
     /// When it was first seen waiting, and the time before which it is not leased.
     since: Time,
     not_before: Time,
@@ -93,7 +93,7 @@
 /// The scheduler of one term of the duty. Its successor begins with what the store has, and starts every wait again
 /// in full.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Giver {
+pub struct Scheduler {
     limits: Limits,
     term: u64,
     entries: BTreeMap<String, Entry>,
@@ -121,16 +121,16 @@
     lost_sites: BTreeMap<String, Time>,
     held_back_until: Time,
     write_pending: bool,
-    figures: Metrics,
+    metrics: Metrics,
 }
 
-impl Giver {
+impl Scheduler {
     /// How close together losses of sites count as one event: sites cut off together are lost within a renewal of one
     /// another.
     const SAME_LOSS_WINDOW: Time = 50_000;
 
-    pub fn new(term: u64, limits: Limits) -> Giver {
-        Giver {
+    pub fn new(term: u64, limits: Limits) -> Scheduler {
+        Scheduler {
             limits,
             term,
             entries: BTreeMap::new(),
@@ -147,19 +147,19 @@
             lost_sites: BTreeMap::new(),
             held_back_until: Time::MIN,
             write_pending: false,
-            figures: Metrics::default(),
+            metrics: Metrics::default(),
         }
     }
 
     /// Returns the current metrics.
-    pub fn figures(&self) -> Metrics {
+    pub fn metrics(&self) -> Metrics {
         let parked = |entry: &&Entry| matches!(&entry.line, Some((line, _)) if line.state == State::Parked);
         Metrics {
             jobs: self.entries.len(),
             waiting: self.oldest.len(),
             held: self.held_by_user.values().sum(),
             parked: self.entries.values().filter(parked).count(),
-            ..self.figures
+            ..self.metrics
         }
     }
 
@@ -188,19 +188,20 @@
 
     /// Takes all sites whose keys are at the store.
     pub fn sites(&mut self, now: Time, sites: Vec<Site>) {
-        let present: BTreeSet<Incarnation> = sites.iter().map(|site| site.life).collect();
+        let present: BTreeSet<Incarnation> = sites.iter().map(|site| site.incarnation).collect();
         let mut names: BTreeSet<String> = self.sites.values().map(|known| known.site.name.clone()).collect();
         names.extend(sites.iter().map(|site| site.name.clone()));
         let gone: Vec<Incarnation> =
-            self.sites.keys().filter(|life| !present.contains(life)).copied().collect();
-        for life in gone {
+            self.sites.keys().filter(|incarnation| !present.contains(incarnation)).copied().collect();
+        for incarnation in gone {
             // A site that is back under another incarnation at once is not lost.
-            if let Some(known) = self.sites.remove(&life) {
+            if let Some(known) = self.sites.remove(&incarnation) {
                 if !sites.iter().any(|site| site.name == known.site.name) {
                     self.lost_sites.insert(known.site.name, now);
                 }
             }
-            let held = |entry: &Entry| entry.line.as_ref().is_some_and(|(line, _)| line.site() == Some(life));
+            let held =
+                |entry: &Entry| entry.line.as_ref().is_some_and(|(line, _)| line.site() == Some(incarnation));
             let orphans = self.entries.iter().filter(|(_, entry)| held(entry));
             let orphans: Vec<String> = orphans.map(|(job, _)| job.clone()).collect();
             self.orphans.extend(orphans);
@@ -211,17 +212,18 @@
         // incarnations, with the outcomes of what they did meanwhile; until then the few sites left are not flooded
         // with the jobs of all.
         if names.len() > 1 && 2 * self.lost_sites.len() > names.len() {
-            self.held_back_until = self.held_back_until.max(now + self.limits.most_gone);
+            self.held_back_until = self.held_back_until.max(now + self.limits.mass_loss_delay);
         }
         for site in sites {
-            let held =
-                |entry: &&Entry| entry.line.as_ref().is_some_and(|(line, _)| line.site() == Some(site.life));
-            if let Some(known) = self.sites.get_mut(&site.life) {
+            let held = |entry: &&Entry| {
+                entry.line.as_ref().is_some_and(|(line, _)| line.site() == Some(site.incarnation))
+            };
+            if let Some(known) = self.sites.get_mut(&site.incarnation) {
                 known.site = site;
                 continue;
             }
             let held = self.entries.values().filter(held).count();
-            self.sites.insert(site.life, KnownSite { site, since: now, held, given_cold: held });
+            self.sites.insert(site.incarnation, KnownSite { site, since: now, held, given_cold: held });
         }
     }
 
@@ -249,11 +251,11 @@
     }
 
     /// Takes a line as the store has it at a revision.
-    pub fn line(&mut self, now: Time, id: &str, line: Line, modified: u64) {
+    pub fn line(&mut self, now: Time, id: &str, line: JobLine, modified: u64) {
         if !self.ensure_entry(now, id) {
             return;
         }
-        let retry_delay = self.limits.again;
+        let retry_delay = self.limits.retry_delay;
         self.change(now, id, |entry| {
             if entry.line.as_ref().is_some_and(|(_, seen)| *seen >= modified) {
                 return;
@@ -280,7 +282,7 @@
             return true;
         }
         if self.entries.len() >= self.limits.jobs {
-            self.figures.left_out += 1;
+            self.metrics.left_out += 1;
             return false;
         }
         let entry = Entry {
@@ -384,11 +386,11 @@
         let entry = self.entries.get(id)?;
         let (line, seen) = match &entry.line {
             Some((line, seen)) => (line.clone(), *seen),
-            None => (Line::new(State::Waiting), 0),
+            None => (JobLine::new(State::Waiting), 0),
         };
         let last = line.token(seen);
         let attempts = line.attempts + u32::from(matches!(state, State::Leased(_)));
-        let line = Line { state, last, attempts, term: self.term, why: why.to_owned() };
+        let line = JobLine { state, last, attempts, term: self.term, why: why.to_owned() };
         Some(Write { job: id.to_owned(), seen, line, there: None, gone: None, delete: false })
     }
 
@@ -413,8 +415,8 @@
 
     /// Ends the leases of sites that are gone.
     fn end_orphaned_leases(&mut self, now: Time) -> Vec<Write> {
-        self.figures.held_back = now < self.held_back_until && !self.orphans.is_empty();
-        if self.figures.held_back {
+        self.metrics.held_back = now < self.held_back_until && !self.orphans.is_empty();
+        if self.metrics.held_back {
             return Vec::new();
         }
         let writes = self.orphans.iter().filter_map(|id| {
@@ -432,7 +434,7 @@
     /// Returns the free capacity of a site: of all its capacity, or of a quarter while it is cold.
     fn free_capacity(&self, now: Time, known: &KnownSite) -> usize {
         let capacity = known.site.room;
-        if now >= known.since + self.limits.cold {
+        if now >= known.since + self.limits.cold_period {
             return capacity.saturating_sub(known.held);
         }
         // Jobs that it finishes while it is cold warm it up, but what it is given until then is bounded as well.
@@ -443,8 +445,11 @@
     /// Leases waiting jobs to sites with free capacity: first those that have waited too long, then those of the
     /// users who owe least.
     fn assign(&mut self, now: Time) -> Vec<Write> {
-        let mut capacities: Vec<(usize, Incarnation)> =
-            self.sites.values().map(|known| (self.free_capacity(now, known), known.site.life)).collect();
+        let mut capacities: Vec<(usize, Incarnation)> = self
+            .sites
+            .values()
+            .map(|known| (self.free_capacity(now, known), known.site.incarnation))
+            .collect();
         let mut writes: Vec<Write> = Vec::new();
         let mut chosen: BTreeSet<String> = BTreeSet::new();
         // Users chosen already: their debt including the chosen jobs, and the last of those jobs.
@@ -455,14 +460,14 @@
         let mut overdue = self
             .oldest
             .iter()
-            .take_while(|(since, ..)| now >= since + self.limits.wait)
+            .take_while(|(since, ..)| now >= since + self.limits.max_wait)
             .map(|(.., id)| id.as_str())
             .filter(|id| due(id))
             .peekable();
         let mut by_debt = self.by_debt.iter().map(|(owes, user)| (*owes, user.as_str())).peekable();
         while writes.len() < self.limits.writes {
             // The site with the most free capacity; ties go to the lowest incarnation.
-            capacities.sort_by_key(|&(free, life)| (std::cmp::Reverse(free), life));
+            capacities.sort_by_key(|&(free, incarnation)| (std::cmp::Reverse(free), incarnation));
             let Some((free, site)) = capacities.first_mut().filter(|(free, _)| *free > 0) else { break };
             let id = match overdue.next() {
                 Some(id) => id,
@@ -502,7 +507,7 @@
 
     /// Completes the last writes: `revision` is set if they were carried out. If not, the next poll of the store
     /// shows the current lines.
-    pub fn done(&mut self, now: Time, writes: &[Write], revision: Option<u64>) {
+    pub fn complete(&mut self, now: Time, writes: &[Write], revision: Option<u64>) {
         self.write_pending = false;
         let Some(revision) = revision else { return };
         for write in writes {
@@ -512,12 +517,12 @@
             }
             match write.line.state {
                 State::Leased(site) => {
-                    self.figures.given += 1;
+                    self.metrics.given += 1;
                     if let Some(known) = self.sites.get_mut(&site) {
                         known.given_cold += 1;
                     }
                 }
-                State::Waiting => self.figures.ended += 1,
+                State::Waiting => self.metrics.ended += 1,
                 _ => {}
             }
             self.line(now, &write.job, write.line.clone(), revision);
--- a/crates/jobs/tests/explore.rs
+++ b/crates/jobs/tests/explore.rs
@@ -2,7 +2,7 @@
 //! order of events do two leaders act, is a job leased again while its holder may still work, or does a step land
 //! twice.
 //!
-//! The decisions are the program's own ([`Duties`], [`Giver`], [`decide_outcome`], [`Taker`]); all else
+//! The decisions are the program's own ([`Duties`], [`Scheduler`], [`decide_outcome`], [`EffectReceiver`]); all else
 //! is a model. Any event that can happen may come next. Time is left out, except for what leases
 //! promise (`docs/design/duties.md`): a membership is over at its steward before it is over at the
 //! store, and a site's incarnation at its agent before it is over at the store.
@@ -12,9 +12,9 @@
 use std::hash::{Hash, Hasher};
 use std::time::Instant;
 
-use ravenspar_duty::{Claim, Duties, Member, Step, Taker};
+use ravenspar_duty::{Claim, Duties, EffectReceiver, Member, Step};
 use ravenspar_jobs::{
-    decide_outcome, Ended, Giver, Incarnation, Job, Limits, Line, Site, State, Token, Verdict, Write,
+    decide_outcome, Ended, Incarnation, Job, JobLine, Limits, Scheduler, Site, State, Token, Verdict, Write,
 };
 
 const STEWARDS: usize = 2;
@@ -23,8 +23,15 @@
 /// The number of steps of each job.
 const STEPS: u64 = 2;
 
-const LIMITS: Limits =
-    Limits { jobs: 10, attempts: 100, again: 0, cold: 0, most_gone: 0, wait: 1 << 40, writes: 4 };
+const LIMITS: Limits = Limits {
+    jobs: 10,
+    attempts: 100,
+    retry_delay: 0,
+    cold_period: 0,
+    mass_loss_delay: 0,
+    max_wait: 1 << 40,
+    writes: 4,
+};
 
 /// A safeguard to leave out, to show that it is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -45,7 +52,7 @@
     /// An outcome is accepted whatever token it bears.
     Token,
     /// An outcome is written without comparing the line with the one that was read.
-    Line,
+    JobLine,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -57,21 +64,21 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Steward {
-    life: Incarnation,
+    incarnation: Incarnation,
     /// Its membership is over by its own clock.
     expired: bool,
     duties: Duties,
-    scheduler: Option<(u64, Giver)>,
+    scheduler: Option<(u64, Scheduler)>,
     request: Option<(Request, Option<Option<u64>>)>,
     /// The lines as it last read them.
-    lines: BTreeMap<&'static str, (Line, u64)>,
+    lines: BTreeMap<&'static str, (JobLine, u64)>,
     /// An outcome for which it has read the line.
-    settling: Option<(usize, &'static str, Token, u64, Line)>,
+    settling: Option<(usize, &'static str, Token, u64, JobLine)>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Agent {
-    life: Incarnation,
+    incarnation: Incarnation,
     expired: bool,
     /// The jobs held: the token, and how many steps are known to have landed. With `None` the agent has to ask.
     held: BTreeMap<&'static str, (Token, Option<u64>)>,
@@ -89,10 +96,10 @@
     members: BTreeSet<Incarnation>,
     claim: Option<Claim>,
     sites: BTreeSet<Incarnation>,
-    lines: BTreeMap<&'static str, (Line, u64)>,
+    lines: BTreeMap<&'static str, (JobLine, u64)>,
     stewards: Vec<Steward>,
     agents: Vec<Agent>,
-    receiver: Taker<&'static str>,
+    receiver: EffectReceiver<&'static str>,
     steps_done: BTreeMap<&'static str, u64>,
     /// How often each step took effect.
     effects: BTreeMap<(&'static str, u64), u32>,
@@ -128,7 +135,7 @@
 impl World {
     fn new(without: Without) -> World {
         let steward = |n: usize| Steward {
-            life: n as Incarnation + 1,
+            incarnation: n as Incarnation + 1,
             expired: false,
             duties: Duties::new(n as Incarnation + 1, 1, 0),
             scheduler: None,
@@ -137,7 +144,7 @@
             settling: None,
         };
         let agent = |n: usize| Agent {
-            life: n as Incarnation + 11,
+            incarnation: n as Incarnation + 11,
             expired: false,
             held: BTreeMap::new(),
             call: None,
@@ -153,7 +160,7 @@
             lines: BTreeMap::new(),
             stewards: (0..STEWARDS).map(steward).collect(),
             agents: (0..SITES).map(agent).collect(),
-            receiver: Taker::new(10),
+            receiver: EffectReceiver::new(10),
             steps_done: BTreeMap::new(),
             effects: BTreeMap::new(),
             highest_term: 0,
@@ -187,7 +194,7 @@
         for (n, steward) in self.stewards.iter().enumerate() {
             let may_act =
                 !steward.expired || matches!(self.without, Without::Permit | Without::PermitAndClaim);
-            let is_member = self.members.contains(&steward.life);
+            let is_member = self.members.contains(&steward.incarnation);
             match &steward.request {
                 None if may_act => events.push(Event::Decide(n)),
                 None => {}
@@ -219,7 +226,7 @@
             if !agent.expired {
                 events.push(Event::SiteExpireOwn(n));
             }
-            if self.sites.contains(&agent.life) && (agent.expired || self.without == Without::Sent) {
+            if self.sites.contains(&agent.incarnation) && (agent.expired || self.without == Without::Sent) {
                 events.push(Event::SiteExpireAtStore(n));
             }
         }
@@ -233,15 +240,15 @@
             Event::Commit(n) => self.store(n),
             Event::ReceiveAnswer(n) => self.receive_answer(n),
             Event::CommitLate(n) => {
-                let (life, request) = self.late_requests.remove(n);
-                self.carry_out(life, &request);
+                let (incarnation, request) = self.late_requests.remove(n);
+                self.carry_out(incarnation, &request);
             }
             Event::ExpireOwn(n) => self.stewards[n].expired = true,
             Event::ExpireAtStore(n) => {
-                let life = self.stewards[n].life;
-                self.members.remove(&life);
+                let incarnation = self.stewards[n].incarnation;
+                self.members.remove(&incarnation);
                 self.revision += 1;
-                self.claim = self.claim.filter(|claim| claim.owner != life);
+                self.claim = self.claim.filter(|claim| claim.leader != incarnation);
                 if matches!(self.without, Without::Permit | Without::PermitAndClaim) {
                     return;
                 }
@@ -269,11 +276,11 @@
                 agent.held.clear();
             }
             Event::SiteExpireAtStore(n) => {
-                self.sites.remove(&self.agents[n].life);
+                self.sites.remove(&self.agents[n].incarnation);
                 self.revision += 1;
                 if self.agents[n].expired {
                     self.next_life += 1;
-                    self.agents[n].life = self.next_life;
+                    self.agents[n].incarnation = self.next_life;
                     self.agents[n].expired = false;
                     self.sites.insert(self.next_life);
                 }
@@ -284,15 +291,15 @@
     /// Rejoins as another incarnation.
     fn rejoin(&mut self, n: usize) {
         if let Some((request, None)) = self.stewards[n].request.take() {
-            self.late_requests.push((self.stewards[n].life, request));
+            self.late_requests.push((self.stewards[n].incarnation, request));
         }
         self.next_life += 1;
-        let life = self.next_life;
-        self.members.insert(life);
+        let incarnation = self.next_life;
+        self.members.insert(incarnation);
         self.stewards[n] = Steward {
-            life,
+            incarnation,
             expired: false,
-            duties: Duties::new(life, 1, 0),
+            duties: Duties::new(incarnation, 1, 0),
             scheduler: None,
             request: None,
             lines: BTreeMap::new(),
@@ -301,17 +308,26 @@
     }
 
     fn read_store(&mut self, n: usize) {
-        let members = self.members.iter().map(|&life| Member { life, leaving: false, poor: false }).collect();
+        let members = self
+            .members
+            .iter()
+            .map(|&incarnation| Member { incarnation, leaving: false, poor: false })
+            .collect();
         let hides_site = self.without == Without::SiteGone && n == 1;
         // A steward that doesn't see a site and relies on that.
-        let sites = self.sites.iter().filter(|life| !hides_site || **life != self.agents[0].life);
-        let sites: Vec<Site> = sites.map(|&life| Site { life, name: format!("s{life}"), room: 2 }).collect();
+        let sites = self
+            .sites
+            .iter()
+            .filter(|incarnation| !hides_site || **incarnation != self.agents[0].incarnation);
+        let sites: Vec<Site> = sites
+            .map(|&incarnation| Site { incarnation, name: format!("s{incarnation}"), room: 2 })
+            .collect();
         let steward = &mut self.stewards[n];
-        steward.duties.seen(members, &[self.claim]);
+        steward.duties.update_snapshot(members, &[self.claim]);
         steward.lines = self.lines.clone();
         let term = steward.duties.term(0);
         if steward.scheduler.as_ref().map(|(term, _)| *term) != term {
-            steward.scheduler = term.map(|term| (term, Giver::new(term, LIMITS)));
+            steward.scheduler = term.map(|term| (term, Scheduler::new(term, LIMITS)));
         }
         if let Some((_, scheduler)) = &mut steward.scheduler {
             scheduler.sites(0, sites);
@@ -346,21 +362,21 @@
     }
 
     fn store(&mut self, n: usize) {
-        let life = self.stewards[n].life;
+        let incarnation = self.stewards[n].incarnation;
         let Some((request, None)) = self.stewards[n].request.clone() else { return };
-        let done = self.carry_out(life, &request);
+        let done = self.carry_out(incarnation, &request);
         self.stewards[n].request = Some((request, Some(done)));
     }
 
-    fn carry_out(&mut self, life: Incarnation, request: &Request) -> Option<u64> {
+    fn carry_out(&mut self, incarnation: Incarnation, request: &Request) -> Option<u64> {
         let compares = !matches!(self.without, Without::Claim | Without::PermitAndClaim);
-        let witness = self.members.contains(&life) || !compares;
+        let witness = self.members.contains(&incarnation) || !compares;
         match request {
             Request::Step(Step::Claim { .. }) => {
-                let applies = self.claim.is_none() && self.members.contains(&life);
-                applies.then(|| self.write_claim(life))
+                let applies = self.claim.is_none() && self.members.contains(&incarnation);
+                applies.then(|| self.write_claim(incarnation))
             }
-            Request::Step(Step::Give { term, to, .. }) => {
+            Request::Step(Step::HandOver { term, to, .. }) => {
                 let applies = witness
                     && self.claim.is_some_and(|claim| claim.term == *term)
                     && self.members.contains(to);
@@ -374,20 +390,21 @@
                     let gone = gone || self.without == Without::SiteGone;
                     seen && gone && write.there.is_none_or(|site| self.sites.contains(&site))
                 };
-                (witness && claimed && writes.iter().all(applies)).then(|| self.write(life, *term, writes))
+                (witness && claimed && writes.iter().all(applies))
+                    .then(|| self.write(incarnation, *term, writes))
             }
         }
     }
 
-    fn write_claim(&mut self, owner: Incarnation) -> u64 {
+    fn write_claim(&mut self, leader: Incarnation) -> u64 {
         self.revision += 1;
-        self.claim = Some(Claim { owner, term: self.revision });
+        self.claim = Some(Claim { leader, term: self.revision });
         self.revision
     }
 
-    fn write(&mut self, life: Incarnation, term: u64, writes: &[Write]) -> u64 {
+    fn write(&mut self, incarnation: Incarnation, term: u64, writes: &[Write]) -> u64 {
         self.revision += 1;
-        if self.claim != Some(Claim { owner: life, term }) {
+        if self.claim != Some(Claim { leader: incarnation, term }) {
             self.violation = Some("a steward writes without leading the duty");
         }
         if term < self.highest_term {
@@ -398,8 +415,9 @@
             let Some(job) = JOBS.iter().find(|job| **job == write.job) else { continue };
             // J3: the former holder may not work on it any more.
             let holder = self.lines.get(job).and_then(|(line, _)| line.site());
-            let works =
-                |agent: &Agent| Some(agent.life) == holder && !agent.expired && agent.held.contains_key(job);
+            let works = |agent: &Agent| {
+                Some(agent.incarnation) == holder && !agent.expired && agent.held.contains_key(job)
+            };
             if matches!(write.line.state, State::Waiting | State::Leased(_)) && self.agents.iter().any(works)
             {
                 self.violation = Some("a job is taken from a site that may still work on it");
@@ -414,15 +432,15 @@
         let Some((request, Some(done))) = steward.request.take() else { return };
         match request {
             Request::Step(step) => {
-                steward.duties.done(step, done);
+                steward.duties.complete(step, done);
                 let term = steward.duties.term(0);
                 if steward.scheduler.as_ref().map(|(term, _)| *term) != term {
-                    steward.scheduler = term.map(|term| (term, Giver::new(term, LIMITS)));
+                    steward.scheduler = term.map(|term| (term, Scheduler::new(term, LIMITS)));
                 }
             }
             Request::Lines(term, writes) => {
                 if let Some((_, scheduler)) = steward.scheduler.as_mut().filter(|(own, _)| *own == term) {
-                    scheduler.done(0, &writes, done);
+                    scheduler.complete(0, &writes, done);
                 }
             }
         }
@@ -437,10 +455,15 @@
             let known = agent.held.get(job).map_or(0, |(token, _)| *token);
             let reported = agent.outcomes.iter().filter(|(of, _)| of == job).map(|(_, token)| *token).max();
             match line.state {
-                State::Leased(life) if life == agent.life && *modified > known.max(reported.unwrap_or(0)) => {
+                State::Leased(incarnation)
+                    if incarnation == agent.incarnation && *modified > known.max(reported.unwrap_or(0)) =>
+                {
                     agent.held.insert(job, (*modified, None));
                 }
-                _ if known > 0 && line.token(*modified) >= known && line.site() != Some(agent.life) => {
+                _ if known > 0
+                    && line.token(*modified) >= known
+                    && line.site() != Some(agent.incarnation) =>
+                {
                     agent.held.remove(job);
                 }
                 _ => {}
@@ -485,8 +508,8 @@
         match decide_outcome(&line, seen, checked_token, &Ended::Done) {
             Verdict::Accept(to) => {
                 let found = self.lines.get(job).map_or(0, |(_, at)| *at);
-                if found != seen && self.without != Without::Line
-                    || !self.members.contains(&self.stewards[n].life)
+                if found != seen && self.without != Without::JobLine
+                    || !self.members.contains(&self.stewards[n].incarnation)
                 {
                     return;
                 }
@@ -586,7 +609,7 @@
         Without::SiteGone,
         Without::Sent,
         Without::Token,
-        Without::Line,
+        Without::JobLine,
     ] {
         let found = found(without);
         println!("{without:?}: {found:?}");
--- a/crates/lab/src/work/judge/jobs.rs
+++ b/crates/lab/src/work/judge/jobs.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use ravenspar_jobs::{Line, State};
+use ravenspar_jobs::{JobLine, State};
 use ravenspar_standin::effects::{Answer, Call};
 use ravenspar_standin::store::Change;
 use ravenspar_standin::Time;
@@ -166,7 +166,7 @@
                 jobs.remove(change.job);
             }
         }
-        if let Some(site) = change.line.as_ref().and_then(Line::site) {
+        if let Some(site) = change.line.as_ref().and_then(JobLine::site) {
             holder.insert(change.job, site);
             let jobs = holds.entry(site).or_default();
             jobs.insert(change.job);
@@ -197,7 +197,7 @@
         sum += if full { at - since } else { 0 };
         since = at;
         while let Some(change) = lines.next_if(|change| change.revision <= revision) {
-            holder.insert(change.job, change.line.as_ref().and_then(Line::site));
+            holder.insert(change.job, change.line.as_ref().and_then(JobLine::site));
         }
         let held = |life: u64| holder.values().filter(|site| **site == Some(life)).count();
         let mut there = story.sites.iter().filter(|(_, site)| site.is_there(revision));
--- a/crates/lab/src/work/judge/story.rs
+++ b/crates/lab/src/work/judge/story.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use ravenspar_jobs::Line;
+use ravenspar_jobs::JobLine;
 use ravenspar_standin::agent::Spec;
 use ravenspar_standin::store::Change;
 use ravenspar_standin::Time;
@@ -14,7 +14,7 @@
     pub(super) at: Time,
     pub(super) revision: i64,
     pub(super) job: &'a str,
-    pub(super) line: Option<Line>,
+    pub(super) line: Option<JobLine>,
     /// Whose hand wrote it: the life and the hand's name.
     pub(super) by: Option<(&'a str, &'a str)>,
 }
--- a/crates/lab/src/work/judge/tests.rs
+++ b/crates/lab/src/work/judge/tests.rs
@@ -1,7 +1,7 @@
 //! The judge is proven by histories that break each rule.
 
 use ravenspar_debt::{EpochRow, Fact, Ledger, UseRow};
-use ravenspar_jobs::{Line, State};
+use ravenspar_jobs::{JobLine, State};
 use ravenspar_standin::effects::{Answer, Call};
 
 use super::debts::shares;
@@ -93,7 +93,7 @@
     }
 
     /// A line written by a life's hand.
-    fn line(&mut self, life: &str, hand: &str, job: &str, line: &Line) -> u64 {
+    fn line(&mut self, life: &str, hand: &str, job: &str, line: &JobLine) -> u64 {
         let text = serde_json::to_string(line).expect("written");
         let revision = self.put(&format!("line/{job}"), &text);
         self.change(&format!("witness/{life}/{hand}"), Some("1"));
@@ -101,12 +101,12 @@
     }
 
     fn gives(&mut self, life: &str, job: &str, site: u64) -> u64 {
-        let line = Line { term: self.term(), ..Line::new(State::Leased(site)) };
+        let line = JobLine { term: self.term(), ..JobLine::new(State::Leased(site)) };
         self.line(life, "own", job, &line)
     }
 
     fn ends(&mut self, life: &str, job: &str, last: u64) {
-        let line = Line { term: self.term(), last, ..Line::new(State::Waiting) };
+        let line = JobLine { term: self.term(), last, ..JobLine::new(State::Waiting) };
         self.line(life, "own", job, &line);
     }
 
@@ -122,7 +122,7 @@
     }
 
     fn done(&mut self, job: &str, last: u64) {
-        self.line("1", "agents", job, &Line { last, ..Line::new(State::Done) });
+        self.line("1", "agents", job, &JobLine { last, ..JobLine::new(State::Done) });
         self.put(&format!("outcome/{job}"), r#"{"ended":"done"}"#);
     }
 
@@ -172,7 +172,7 @@
 #[test]
 fn lower_terms_and_others_than_the_owner() {
     let mut tale = good();
-    let line = Line { term: 3, ..Line::new(State::Leased(0xb)) };
+    let line = JobLine { term: 3, ..JobLine::new(State::Leased(0xb)) };
     tale.line("1", "own", "j", &line);
     assert!(tale.breaks().contains(&"D1 terms"));
     let mut tale = good();
--- a/crates/lab/src/work/play.rs
+++ b/crates/lab/src/work/play.rs
@@ -417,7 +417,7 @@
             }
         }
         lines.into_values().flatten().find_map(|line| {
-            let line: ravenspar_jobs::Line = serde_json::from_str(&line).ok()?;
+            let line: ravenspar_jobs::JobLine = serde_json::from_str(&line).ok()?;
             let life = line.site()?;
             let (site, _) = self.store.get(format!("{PREFIX}site/{life:016x}").as_bytes())?;
             let site: serde_json::Value = serde_json::from_slice(&site).ok()?;
--- a/crates/ravenspar/src/core.rs
+++ b/crates/ravenspar/src/core.rs
@@ -63,8 +63,8 @@
             let now = self.clock.now();
             let mut wakeup = self.next_wakeup(now);
             if self.shared.is_some() && self.process.fleet.is_some() {
-                if !self.pace.is_asked() {
-                    self.pace.asks(now);
+                if !self.pace.is_scheduled() {
+                    self.pace.schedule_tick(now);
                 }
                 wakeup = wakeup.min(now + Pace::TICK);
             }
@@ -92,7 +92,7 @@
                 () = self.recorder.changed() => {}
                 () = tokio::time::sleep_until(wakeup) => {}
             }
-            self.pace.runs(self.clock.now());
+            self.pace.record_wakeup(self.clock.now());
             if let Some(why) = sharing_event.and_then(|event| self.handle_sharing_event(event)) {
                 return Ok(End::MembershipEnded(why));
             }
--- a/crates/ravenspar/src/settings/sections.rs
+++ b/crates/ravenspar/src/settings/sections.rs
@@ -134,10 +134,10 @@
         limits: ravenspar_jobs::Limits {
             jobs: count("jobs.most"),
             attempts: count("jobs.attempts") as u32,
-            again: time("jobs.again"),
-            cold: time("jobs.cold"),
-            most_gone: time("jobs.most_gone"),
-            wait: time("jobs.wait"),
+            retry_delay: time("jobs.again"),
+            cold_period: time("jobs.cold"),
+            mass_loss_delay: time("jobs.most_gone"),
+            max_wait: time("jobs.wait"),
             // Each may write a line, its outcome and its site's key: etcd accepts 128 operations of each type.
             writes: 60,
         },
--- a/crates/ravenspar/src/sharing.rs
+++ b/crates/ravenspar/src/sharing.rs
@@ -132,7 +132,7 @@
     /// that others reach, or runs too slowly, so that its slices are better served by others.
     pub fn update_resting(&mut self, own: u32, others: Option<&[u32]>) {
         let now = self.clock.now();
-        let slow = self.pace.runs(now);
+        let slow = self.pace.record_wakeup(now);
         let Some(shared) = self.shared.as_mut() else { return };
         let resting = shared.useful.look(now, own, others) || slow;
         if resting != std::mem::replace(&mut shared.resting, resting) {
--- a/crates/ravenspar/src/work/agents.rs
+++ b/crates/ravenspar/src/work/agents.rs
@@ -1,7 +1,7 @@
 //! Communication with the agents of sites: handles their messages, and makes the calls to the store and the replies
 //! that follow from them.
 
-use ravenspar_jobs::{Act, Hello};
+use ravenspar_jobs::{Action, Hello};
 use ravenspar_protocol::VERSION;
 use ravenspar_sharing::Incarnation;
 use ravenspar_steward::SECOND;
@@ -16,22 +16,24 @@
 impl Task {
     /// Handles a message that arrived on an agent's stream.
     pub(super) fn handle_message(&mut self, stream: u64, message: Message) {
-        self.agent_sessions.heard(self.context.clock.now(), stream);
+        self.agent_sessions.message_received(self.context.clock.now(), stream);
         match message {
             Message::Ping(sent) => self.write(stream, frames::echo(sent)),
             Message::Site { version, .. } if version != VERSION => self.close(stream, "another version"),
-            Message::Site { hello, before, .. } if hello.life > 0 && hello.life <= i64::MAX as u64 => {
+            Message::Site { hello, before, .. }
+                if hello.incarnation > 0 && hello.incarnation <= i64::MAX as u64 =>
+            {
                 self.agent_sessions.hello(self.context.clock.now(), stream, hello, before);
             }
             Message::Site { .. } => self.close(stream, "a life from 1 to 2^63 - 1 is expected"),
             Message::Keep { sent, held_jobs } => {
-                self.agent_sessions.keep(stream, sent, &held_jobs);
+                self.agent_sessions.renewal_received(stream, sent, &held_jobs);
             }
             Message::Outcome { job, .. } if !rows::is_name(&job) => {
                 self.close(stream, "no job has such an id")
             }
             Message::Outcome { job, token, ended } => {
-                if self.agent_sessions.outcome(stream, &job, token, ended)
+                if self.agent_sessions.outcome_received(stream, &job, token, ended)
                     && self.agent_requests.try_send(AgentRequest::ReadLine(job.clone())).is_err()
                 {
                     self.agent_sessions.settled(&job, false);
@@ -40,7 +42,7 @@
             Message::Used(uses) => self.handle_uses(stream, uses),
             Message::Holds(term) => {
                 tracing::warn!(term, "an agent knows a higher term of the duty; reading the store again");
-                self.agent_sessions.outdated();
+                self.agent_sessions.order_refused();
                 self.poll_now.notify_one();
             }
             Message::Over(incarnation) => {
@@ -81,34 +83,36 @@
         let seconds = self.context.settings.lease;
         while let Some(action) = self.agent_sessions.poll() {
             match action {
-                Act::Register { stream, site } => {
+                Action::Register { stream, site } => {
                     let steward = self.context.incarnation;
                     self.spawn_call(move |store, keys| register(store, keys, stream, site, seconds, steward));
                 }
-                Act::End { lives } => self.spawn_call(move |store, keys| revoke_leases(store, keys, lives)),
-                Act::Renew { stream, life, sent } => self.spawn_call(move |store, _| async move {
-                    let held = store.renew(life).await.ok().map(|seconds| seconds.is_some());
-                    Some(Event::Renewed { stream, incarnation: life, sent, held })
+                Action::End { incarnations } => {
+                    self.spawn_call(move |store, keys| revoke_leases(store, keys, incarnations))
+                }
+                Action::Renew { stream, incarnation, sent } => self.spawn_call(move |store, _| async move {
+                    let held = store.renew(incarnation).await.ok().map(|seconds| seconds.is_some());
+                    Some(Event::Renewed { stream, incarnation: incarnation, sent, held })
                 }),
-                Act::Kept { stream, life, sent } => {
+                Action::Kept { stream, incarnation, sent } => {
                     let lease = u64::from(seconds) * SECOND as u64;
-                    self.write(stream, frames::kept(life, sent, lease));
+                    self.write(stream, frames::kept(incarnation, sent, lease));
                 }
-                Act::Over { stream, life } => self.write(stream, frames::over(life)),
-                Act::Give { stream, term, life, job, token } => {
+                Action::Over { stream, incarnation } => self.write(stream, frames::over(incarnation)),
+                Action::Begin { stream, term, incarnation, job, token } => {
                     // Dropped if the queue is full: the job is assigned again with the agent's next renewal.
                     let _ = self.agent_requests.try_send(AgentRequest::ReadSpec {
                         stream,
                         term,
-                        incarnation: life,
+                        incarnation: incarnation,
                         job,
                         token,
                     });
                 }
-                Act::Stop { stream, term, job, token } => {
+                Action::Stop { stream, term, job, token } => {
                     self.write(stream, frames::stop(term, &job, token));
                 }
-                Act::Settle { job, seen, line, token, ended } => {
+                Action::Settle { job, seen, line, token, ended } => {
                     if self
                         .agent_requests
                         .try_send(AgentRequest::Settle { job: job.clone(), seen, line, token, ended })
@@ -117,10 +121,10 @@
                         self.agent_sessions.settled(&job, false);
                     }
                 }
-                Act::Verdict { stream, job, token, refused } => {
+                Action::Verdict { stream, job, token, refused } => {
                     self.write(stream, frames::verdict(&job, token, refused.as_deref()));
                 }
-                Act::Close { stream, why } => self.close(stream, why),
+                Action::Close { stream, why } => self.close(stream, why),
             }
         }
     }
@@ -135,7 +139,7 @@
     seconds: u32,
     steward: Incarnation,
 ) -> Option<Event> {
-    let Hello { life: incarnation, boot, room, name } = site;
+    let Hello { incarnation: incarnation, boot, room, name } = site;
     // Refused if the lease exists already.
     let _ = store.grant(incarnation, seconds).await;
     // The witness is bound to the site's lease, as a site's key doesn't depend on a steward's membership.
--- a/crates/ravenspar/src/work/duties.rs
+++ b/crates/ravenspar/src/work/duties.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeSet;
 
-use ravenspar_duty::{Claim, Member, Step, Tenure};
-use ravenspar_jobs::Giver;
+use ravenspar_duty::{Claim, Leadership, Member, Step};
+use ravenspar_jobs::Scheduler;
 use ravenspar_steward::Time;
 use ravenspar_store::Row;
 
@@ -25,7 +25,7 @@
             let incarnation = Keys::incarnation(&row.key)?;
             let member: crate::shared::Member = serde_json::from_slice(&row.value).ok()?;
             let poor = self.peer_reachability.get(&incarnation).is_some_and(|reachability| reachability.poor);
-            Some(Member { life: incarnation, leaving: member.leaving, poor })
+            Some(Member { incarnation: incarnation, leaving: member.leaving, poor })
         });
         let members = members.collect();
         let mut claims: Vec<Option<Claim>> = vec![None; DUTIES.len()];
@@ -35,7 +35,7 @@
                 claims[duty] = Some(claim);
             }
         }
-        self.duties.seen(members, &claims);
+        self.duties.update_snapshot(members, &claims);
         if let Some(claim) = claims[JOBS] {
             self.agent_sessions.term(claim.term);
         }
@@ -43,7 +43,7 @@
         for ((job, line), modified) in poll.lines.iter().filter_map(decode_line) {
             self.agent_sessions.line(&job, line, modified);
         }
-        self.agent_sessions.known(poll.revision);
+        self.agent_sessions.set_known_revision(poll.revision);
         let Some((leadership, scheduler)) = &mut self.jobs_leadership else { return };
         // A poll that was requested for an earlier term lacks jobs.
         if poll.request.jobs != leadership.term() {
@@ -68,7 +68,7 @@
     /// Writes to the store whether this steward is fit to lead duties, if that has changed.
     pub(super) fn report_reachability(&mut self) {
         let now = self.context.clock.now();
-        let slow = self.pace.runs(now);
+        let slow = self.pace.record_wakeup(now);
         let sites = self.agent_sessions.reached(now);
         let others = self
             .peer_reachability
@@ -76,9 +76,10 @@
             .filter(|(incarnation, _)| **incarnation != self.context.incarnation);
         let others: Vec<u32> = others.map(|(_, peer)| peer.sites as u32).collect();
         let reaches_few = self.rest_detector.look(now, sites as u32, Some(&others));
-        let ranking = (self.books.revision() > 0).then(|| {
-            let digest = self.books.ledger().digest().iter().map(|byte| format!("{byte:02x}")).collect();
-            (self.books.epoch(), self.books.revision(), digest)
+        let ranking = (self.debt_tracker.revision() > 0).then(|| {
+            let digest =
+                self.debt_tracker.ledger().digest().iter().map(|byte| format!("{byte:02x}")).collect();
+            (self.debt_tracker.epoch(), self.debt_tracker.revision(), digest)
         });
         let reachability = Reachability { sites, poor: slow || reaches_few, ranking };
         // The ranking in use is reported with each epoch, not with each fold.
@@ -109,7 +110,7 @@
         if now < membership_status.until && self.duty_commands.capacity() > 0 {
             if let Some(step) = self.duties.next(now, membership_status.leaving) {
                 let duty = match step {
-                    Step::Claim { duty } | Step::Give { duty, .. } => duty,
+                    Step::Claim { duty } | Step::HandOver { duty, .. } => duty,
                 };
                 let _ = self.duty_commands.try_send(DutyCommand::Step { step, name: DUTIES[duty] });
             }
@@ -118,7 +119,7 @@
         if self.jobs_leadership.as_ref().map(|(leadership, _)| leadership.term()) != term {
             self.jobs_leadership = term.map(|term| {
                 tracing::info!(term, "became the leader of the duty of jobs");
-                (Tenure::new(JOBS, term), Giver::new(term, self.context.settings.limits))
+                (Leadership::new(JOBS, term), Scheduler::new(term, self.context.settings.limits))
             });
             if term.is_none() {
                 tracing::info!("no longer the leader of the duty of jobs");
@@ -130,12 +131,12 @@
             match debts_term {
                 Some(term) => {
                     tracing::info!(term, "became the leader of the duty of debts");
-                    self.books.begin(term);
+                    self.debt_tracker.start_leading(term);
                 }
-                None => self.books.end(),
+                None => self.debt_tracker.stop_leading(),
             }
             let epoch_length = self.context.debts.as_ref().map_or(Time::MAX, |debts| debts.epoch);
-            self.debts_leadership = debts_term.map(|term| (Tenure::new(DEBTS, term), now + epoch_length));
+            self.debts_leadership = debts_term.map(|term| (Leadership::new(DEBTS, term), now + epoch_length));
             self.reread_uses();
         }
         let count = (0..DUTIES.len()).filter(|duty| self.duties.term(*duty).is_some()).count();
@@ -151,9 +152,9 @@
         if self.duty_commands.capacity() == 0 {
             return;
         }
-        let Some(permit) = leadership.warrant(now, until) else { return };
-        let ledger = self.books.ledger();
-        let writes = scheduler.next(now, |user| ledger.owes(user));
+        let Some(permit) = leadership.permit(now, until) else { return };
+        let ledger = self.debt_tracker.ledger();
+        let writes = scheduler.next(now, |user| ledger.debt_of(user));
         if !writes.is_empty() {
             tracing::debug!(lines = writes.len(), first = ?writes[0], "writing lines of jobs");
             let _ = self.duty_commands.try_send(DutyCommand::Lines { permit, writes });
--- a/crates/ravenspar/src/work/executors.rs
+++ b/crates/ravenspar/src/work/executors.rs
@@ -2,8 +2,8 @@
 //! commands from a bounded queue, and sends an event with the outcome of each.
 
 use ravenspar_debt::{Fact, Fold, Key, UseRow};
-use ravenspar_duty::{Duty, Step, Warrant};
-use ravenspar_jobs::{Ended, Line, State, Token, Write};
+use ravenspar_duty::{Duty, Permit, Step};
+use ravenspar_jobs::{Ended, JobLine, State, Token, Write};
 use ravenspar_net::Clock;
 use ravenspar_store::{at, delete, exists, put, Compare, FencedWriter, Range, SharedStore, WriteError};
 use tokio::sync::mpsc;
@@ -22,9 +22,9 @@
     /// Claim a duty or hand it over.
     Step { step: Step, name: &'static str },
     /// Write job lines as the leader of the duty of jobs.
-    Lines { permit: Warrant, writes: Vec<Write> },
+    Lines { permit: Permit, writes: Vec<Write> },
     /// Write a fold as the leader of the duty of debts.
-    Fold { permit: Warrant, fold: Fold },
+    Fold { permit: Permit, fold: Fold },
     /// Write what this steward reports of itself.
     Reachability(Reachability),
 }
@@ -67,7 +67,7 @@
                             vec![put(key.clone(), encode_incarnation(self.incarnation), self.incarnation)];
                         self.writer.commit(vec![at(key, 0)], then).await
                     }
-                    Step::Give { term, to, .. } => {
+                    Step::HandOver { term, to, .. } => {
                         let compare = vec![at(key.clone(), term), exists(self.keys.member(to))];
                         self.writer.commit(compare, vec![put(key, encode_incarnation(to), to)]).await
                     }
@@ -118,7 +118,7 @@
                     then.push(put(self.keys.use_of(*token, job), rows::encode(row), 0));
                 }
                 then.extend(fold.gone.iter().map(|(token, job)| delete(self.keys.use_of(*token, job))));
-                for (kind, sums) in [('u', &fold.sums.users), ('g', &fold.sums.groups)] {
+                for (kind, sums) in [('u', &fold.totals.users), ('g', &fold.totals.groups)] {
                     then.extend(
                         sums.iter().map(|(name, sum)| put(self.keys.sum(kind, name), rows::encode(sum), 0)),
                     );
@@ -140,11 +140,11 @@
     /// incarnation's witness.
     async fn commit_for_duty(
         &mut self,
-        permit: Warrant,
+        permit: Permit,
         mut compare: Vec<Compare>,
         then: Vec<ravenspar_store::Step>,
     ) -> Result<u64, WriteError> {
-        let Some((duty, term)) = permit.leaves(self.clock.now()) else {
+        let Some((duty, term)) = permit.spend(self.clock.now()) else {
             return Err(WriteError::ConditionFailed);
         };
         compare.push(at(self.keys.duty(self.duty_name(duty)), term));
@@ -174,7 +174,7 @@
     /// Read a job's line, for an outcome that was reported.
     ReadLine(String),
     /// Write an outcome and the resulting line, provided that the line is still at the revision `seen`.
-    Settle { job: String, seen: u64, line: Line, token: Token, ended: Ended },
+    Settle { job: String, seen: u64, line: JobLine, token: Token, ended: Ended },
     /// Write uses that agents have reported, each merged with its entry in the store.
     WriteUses(Vec<ReportedUse>),
     /// Read a job's specification, to send it to its site.
@@ -292,7 +292,7 @@
     /// Writes outcomes and their lines in one transaction.
     async fn write_outcomes(
         &mut self,
-        outcomes: &[(String, u64, Line, Token, Ended)],
+        outcomes: &[(String, u64, JobLine, Token, Ended)],
     ) -> Result<(), WriteError> {
         if outcomes.is_empty() {
             return Ok(());
@@ -335,7 +335,7 @@
             let job = job.as_ref().and_then(rows::job).and_then(|(_, job)| job.ok());
             let Some(job) = job else { continue };
             let fact = Fact { user: job.user, group: job.group, used: use_.used, last: use_.last };
-            if let Some(merged) = UseRow::heard(stored.as_ref(), &fact) {
+            if let Some(merged) = UseRow::merge(stored.as_ref(), &fact) {
                 let key = self.keys.use_of(use_.token, &use_.job);
                 compare.push(at(key.clone(), row.map_or(0, |row| row.modified)));
                 then.push(put(key, rows::encode(&merged), 0));
--- a/crates/ravenspar/src/work/executors/tests.rs
+++ b/crates/ravenspar/src/work/executors/tests.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use futures_util::future::BoxFuture;
-use ravenspar_duty::Tenure;
+use ravenspar_duty::Leadership;
 use ravenspar_jobs::Incarnation;
 use ravenspar_standin::store::Memory;
 use ravenspar_store::{CommitOutcome, FencedTransaction, Page, Read, Store, StoreError};
@@ -55,7 +55,7 @@
 
 /// Writes a job's line under a term of the duty. Returns the revision if it was committed.
 async fn write_line(executor: &mut DutyExecutor, term: u64, write: Write) -> Option<u64> {
-    let permit = Tenure::new(JOBS, term).warrant(0, i64::MAX).expect("the membership has no end");
+    let permit = Leadership::new(JOBS, term).permit(0, i64::MAX).expect("the membership has no end");
     match executor.execute(DutyCommand::Lines { permit, writes: vec![write] }).await {
         Event::LinesWritten { revision, .. } => revision,
         Event::Terminated(why) => panic!("{why}"),
@@ -73,7 +73,7 @@
 }
 
 fn line_write(seen: u64, state: State) -> Write {
-    let line = Line::new(state);
+    let line = JobLine::new(state);
     Write { job: "a".to_owned(), seen, line, there: None, gone: None, delete: false }
 }
 
@@ -95,7 +95,7 @@
     let store: SharedStore = Arc::new(Memory::default());
     let (mut first, _second) = (join(&store, 1).await, join(&store, 2).await);
     let term = claim(&mut first).await.expect("the duty has no leader");
-    let hand_over = |term, to| Step::Give { duty: JOBS, term, to };
+    let hand_over = |term, to| Step::HandOver { duty: JOBS, term, to };
     assert_eq!(step(&mut first, hand_over(term, 3)).await, None, "3 is not a member");
     assert_eq!(step(&mut first, hand_over(term - 1, 2)).await, None, "the term is outdated");
     assert_eq!(leader(&store).await, Some(1));
@@ -110,7 +110,7 @@
     let (mut first, mut second) = (join(&store, 1).await, join(&store, 2).await);
     let term = claim(&mut first).await.expect("the duty has no leader");
     let next =
-        step(&mut first, Step::Give { duty: JOBS, term, to: 2 }).await.expect("the duty is handed over");
+        step(&mut first, Step::HandOver { duty: JOBS, term, to: 2 }).await.expect("the duty is handed over");
     assert_eq!(write_line(&mut first, term, line_write(0, State::Waiting)).await, None);
     assert_eq!(value(&store, keys().line("a")).await, None);
     assert!(write_line(&mut second, next, line_write(0, State::Waiting)).await.is_some());
@@ -210,10 +210,10 @@
     let store: SharedStore = Arc::new(Memory::default());
     store.grant(1, LEASE).await.expect("the lease is granted");
     let mut executor = agent_executor(store.clone());
-    let lines = ["a", "b"].map(|job| put(keys().line(job), rows::encode(&Line::new(State::Leased(7))), 0));
+    let lines = ["a", "b"].map(|job| put(keys().line(job), rows::encode(&JobLine::new(State::Leased(7))), 0));
     let seen = executor.writer.commit(Vec::new(), lines.into()).await.expect("the lines are written");
     let settle = |job: &str, seen| {
-        let line = Line { last: seen, ..Line::new(State::Done) };
+        let line = JobLine { last: seen, ..JobLine::new(State::Done) };
         AgentRequest::Settle { job: job.to_owned(), seen, line, token: seen, ended: Ended::Done }
     };
     let events = executor.execute(vec![settle("a", seen - 1), settle("b", seen)]).await;
--- a/crates/ravenspar/src/work/frames.rs
+++ b/crates/ravenspar/src/work/frames.rs
@@ -53,7 +53,8 @@
                 incarnation = field.number()?;
                 if kind == kind::SITE {
                     let (boot, room) = (field.number()?, field.index()?);
-                    hello = Some(Hello { life: incarnation, boot, room, name: field.text()?.to_owned() });
+                    hello =
+                        Some(Hello { incarnation: incarnation, boot, room, name: field.text()?.to_owned() });
                 }
             }
             tag::BEFORE => before.push(field.number()?),
@@ -158,7 +159,7 @@
         site.numbers(tag::VERSION, &[VERSION])
             .text(tag::LIFE, &[9, 1, 4], "north")
             .numbers(tag::BEFORE, &[8]);
-        let hello = Hello { life: 9, boot: 1, room: 4, name: "north".to_owned() };
+        let hello = Hello { incarnation: 9, boot: 1, room: 4, name: "north".to_owned() };
         assert_eq!(decode(&site.finish()), Ok(Message::Site { hello, before: vec![8], version: VERSION }));
         let mut outcome = Frame::new(kind::OUTCOME);
         outcome.text(tag::JOB, &[70], "a").text(tag::ENDED, &[1], "why");
--- a/crates/ravenspar/src/work/mod.rs
+++ b/crates/ravenspar/src/work/mod.rs
@@ -16,9 +16,9 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use ravenspar_debt::{Books, Facts, Fold, Key};
-use ravenspar_duty::{Duties, Duty, Pace, Step, Tenure, Term};
-use ravenspar_jobs::{Desk, Giver, Line, Token, Write};
+use ravenspar_debt::{DebtTracker, Facts, Fold, Key};
+use ravenspar_duty::{Duties, Duty, Leadership, Pace, Step, Term};
+use ravenspar_jobs::{AgentSessions, JobLine, Scheduler, Token, Write};
 use ravenspar_net::Clock;
 use ravenspar_sharing::useful::RestDetector;
 use ravenspar_sharing::Incarnation;
@@ -80,7 +80,7 @@
     /// A job's line and its revision, as read for an outcome; `None` if there is no such line.
     LineRead {
         job: String,
-        line: Option<(Line, u64)>,
+        line: Option<(JobLine, u64)>,
     },
     /// An outcome was written or, if not `done`, has to be reported again.
     Settled {
@@ -196,14 +196,14 @@
     reachability_write_pending: bool,
     /// What all members of the fleet report of themselves.
     peer_reachability: BTreeMap<Incarnation, Reachability>,
-    agent_sessions: Desk,
+    agent_sessions: AgentSessions,
     /// Set while this steward is the leader of the duty of jobs.
-    jobs_leadership: Option<(Tenure, Giver)>,
-    books: Books,
+    jobs_leadership: Option<(Leadership, Scheduler)>,
+    debt_tracker: DebtTracker,
     /// When the ranking in use was applied.
     ranking_changed_at: Time,
     /// Set while this steward is the leader of the duty of debts, with the time when the next epoch begins.
-    debts_leadership: Option<(Tenure, Time)>,
+    debts_leadership: Option<(Leadership, Time)>,
     /// Uses that agents have reported and that are not in the store yet, and the stream that reported each last.
     pending_uses: Facts,
     reported_by: BTreeMap<Key, u64>,
@@ -279,9 +279,11 @@
             reachability: Reachability::default(),
             reachability_write_pending: false,
             peer_reachability: BTreeMap::new(),
-            agent_sessions: Desk::default(),
+            agent_sessions: AgentSessions::default(),
             jobs_leadership: None,
-            books: Books::new(context.debts.as_ref().map(|debts| debts.shares.clone()).unwrap_or_default()),
+            debt_tracker: DebtTracker::new(
+                context.debts.as_ref().map(|debts| debts.shares.clone()).unwrap_or_default(),
+            ),
             ranking_changed_at: now,
             debts_leadership: None,
             pending_uses: Facts::new(MAX_PENDING_USES),
@@ -313,8 +315,8 @@
     async fn run(mut self) -> String {
         loop {
             let now = self.context.clock.now();
-            if !self.pace.is_asked() {
-                self.pace.asks(now);
+            if !self.pace.is_scheduled() {
+                self.pace.schedule_tick(now);
             }
             let next =
                 self.jobs_leadership.as_ref().map_or(Time::MAX, |(_, scheduler)| scheduler.next_at(now));
@@ -394,12 +396,12 @@
             }
             Event::DutyStepDone { step, term } => {
                 tracing::info!(?step, ?term, "a claim or hand-over of a duty has ended");
-                self.duties.done(step, term);
+                self.duties.complete(step, term);
                 self.poll_now.notify_one();
             }
             Event::LinesWritten { writes, revision } => {
                 if let Some((_, scheduler)) = &mut self.jobs_leadership {
-                    scheduler.done(now, &writes, revision);
+                    scheduler.complete(now, &writes, revision);
                 }
                 if revision.is_some() {
                     for write in writes.iter().filter(|write| !write.delete) {
@@ -438,9 +440,9 @@
             return;
         }
         self.status_at = now + STATUS_INTERVAL;
-        let metrics = self.agent_sessions.figures();
+        let metrics = self.agent_sessions.metrics();
         let (term, scheduler) = match &self.jobs_leadership {
-            Some((leadership, scheduler)) => (leadership.term(), Some(scheduler.figures())),
+            Some((leadership, scheduler)) => (leadership.term(), Some(scheduler.metrics())),
             None => (0, None),
         };
         tracing::info!(
@@ -452,13 +454,13 @@
             calls = MAX_CALLS - self.call_permits.available_permits(),
             changes = self.duties.changes,
             poor = self.reachability.poor,
-            epoch = self.books.epoch(),
+            epoch = self.debt_tracker.epoch(),
             ranking_age_s = (now - self.ranking_changed_at) / SECOND,
-            users = self.books.ledger().users(),
-            uses = ?self.books.open(),
+            users = self.debt_tracker.ledger().users(),
+            uses = ?self.debt_tracker.use_counts(),
             pending_uses = self.pending_uses.len(),
-            pending_uses_left_out = self.pending_uses.left_out,
-            differs = self.books.differs,
+            pending_uses_left_out = self.pending_uses.dropped,
+            differs = self.debt_tracker.digest_mismatches,
             "work for the fleet"
         );
     }
--- a/crates/ravenspar/src/work/rows.rs
+++ b/crates/ravenspar/src/work/rows.rs
@@ -1,8 +1,8 @@
 //! Encoding and decoding of the store's entries that fleet work uses.
 
-use ravenspar_debt::{Key, Sums, UseRow};
+use ravenspar_debt::{Key, Totals, UseRow};
 use ravenspar_duty::{Claim, Incarnation};
-use ravenspar_jobs::{Job, Line, Site};
+use ravenspar_jobs::{Job, JobLine, Site};
 use ravenspar_store::Row;
 use serde::{Deserialize, Serialize};
 
@@ -48,7 +48,7 @@
 pub fn site(row: &Row) -> Option<Site> {
     let incarnation = Keys::incarnation(&row.key)?;
     let SiteRecord { name, room, .. } = serde_json::from_slice(&row.value).ok()?;
-    Some(Site { life: incarnation, name, room })
+    Some(Site { incarnation: incarnation, name, room })
 }
 
 /// Decodes a steward's report of itself.
@@ -58,12 +58,12 @@
 
 /// Decodes the claim of a duty, with the duty's name.
 pub fn claim(row: &Row) -> Option<(&str, Claim)> {
-    let owner = crate::shared::decode_incarnation(&row.value)?;
-    Some((Keys::last(&row.key)?, Claim { owner, term: row.modified }))
+    let leader = crate::shared::decode_incarnation(&row.value)?;
+    Some((Keys::last(&row.key)?, Claim { leader, term: row.modified }))
 }
 
 /// Decodes a job's line, with the job's id.
-pub fn line(row: &Row) -> Option<(String, Line)> {
+pub fn line(row: &Row) -> Option<(String, JobLine)> {
     let id = Keys::last(&row.key)?.to_owned();
     Some((id, serde_json::from_slice(&row.value).ok()?))
 }
@@ -87,8 +87,8 @@
 }
 
 /// Decodes the sums of users and groups; entries that can't be read are skipped.
-pub fn sums(rows: &[Row]) -> Sums {
-    let mut sums = Sums::default();
+pub fn sums(rows: &[Row]) -> Totals {
+    let mut sums = Totals::default();
     for row in rows {
         let (Some(name), Ok(sum)) = (Keys::last(&row.key), serde_json::from_slice(&row.value)) else {
             continue;
--- a/crates/ravenspar/src/work/uses.rs
+++ b/crates/ravenspar/src/work/uses.rs
@@ -25,54 +25,54 @@
     /// Takes in the published ranking and, as the leader of the duty of debts, the uses to be folded.
     pub(super) fn handle_ranking(&mut self, poll: &PollResult) {
         if let Some((row, sums)) = &poll.ranking {
-            let before = self.books.epoch();
+            let before = self.debt_tracker.epoch();
             match serde_json::from_slice(&row.value) {
-                Ok(epoch) => _ = self.books.published(row.modified, epoch, rows::sums(sums)),
+                Ok(epoch) => _ = self.debt_tracker.apply_published(row.modified, epoch, rows::sums(sums)),
                 Err(why) => {
                     tracing::error!(%why, "the ranking in the store can't be decoded and is left out")
                 }
             }
-            if self.books.epoch() != before {
+            if self.debt_tracker.epoch() != before {
                 self.apply_ranking();
             }
         }
         if self.debts_leadership.is_none() || poll.request.uses != self.poll_request.borrow().uses {
             return;
         }
-        if poll.all_uses && self.books.is_stale() {
-            self.books.all_uses();
+        if poll.all_uses && self.debt_tracker.needs_reload() {
+            self.debt_tracker.reset_uses();
         }
         for (row, (key, use_)) in poll.uses.iter().filter_map(|row| Some((row, rows::use_of(row)?))) {
-            self.books.used(key, use_, row.modified);
+            self.debt_tracker.used(key, use_, row.modified);
         }
     }
 
     /// Passes a new ranking on to the scheduler.
     pub(super) fn apply_ranking(&mut self) {
         self.ranking_changed_at = self.context.clock.now();
-        let ledger = self.books.ledger();
+        let ledger = self.debt_tracker.ledger();
         let digest = format!("{:032x}", u128::from_be_bytes(ledger.digest()));
         tracing::debug!(epoch = ledger.epoch, users = ledger.users(), digest, "a new ranking is in use");
         if let Some((_, scheduler)) = &mut self.jobs_leadership {
-            scheduler.rank(ledger.step());
+            scheduler.rank(ledger.mean_lease_debt());
         }
     }
 
     /// Handles the end of a fold, which was committed if there is a revision.
     pub(super) fn handle_fold(&mut self, now: Time, fold: Fold, revision: Option<u64>) {
         let epoch = fold.epoch.epoch;
-        let before = self.books.epoch();
-        self.books.done(fold, revision);
+        let before = self.debt_tracker.epoch();
+        self.debt_tracker.complete(fold, revision);
         let epoch_length = self.context.debts.as_ref().map_or(Time::MAX, |debts| debts.epoch);
         if let Some((_, epoch_at)) =
             self.debts_leadership.as_mut().filter(|_| revision.is_some() && epoch > before)
         {
             *epoch_at = now + epoch_length;
         }
-        if self.books.epoch() != before {
+        if self.debt_tracker.epoch() != before {
             self.apply_ranking();
         }
-        if self.books.is_stale() {
+        if self.debt_tracker.needs_reload() {
             self.reread_uses();
         }
     }
@@ -85,8 +85,8 @@
         if self.duty_commands.capacity() == 0 {
             return;
         }
-        let Some(permit) = leadership.warrant(now, until) else { return };
-        if let Some(fold) = self.books.next(now >= *epoch_at) {
+        let Some(permit) = leadership.permit(now, until) else { return };
+        if let Some(fold) = self.debt_tracker.next(now >= *epoch_at) {
             let _ = self.duty_commands.try_send(DutyCommand::Fold { permit, fold });
         }
     }
@@ -94,7 +94,7 @@
     /// Takes in an agent's report of what it used.
     pub(super) fn handle_uses(&mut self, stream: u64, uses: Vec<frames::Used>) {
         let debts_disabled = self.context.debts.is_none();
-        let floor = self.books.floor();
+        let floor = self.debt_tracker.floor();
         let mut settled = Vec::new();
         for frames::Used { token, used, last, job } in
             uses.into_iter().filter(|use_| rows::is_name(&use_.job))
--- a/crates/standin/src/agent.rs
+++ b/crates/standin/src/agent.rs
@@ -10,7 +10,7 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-use ravenspar_jobs::Holder;
+use ravenspar_jobs::JobAgent;
 use tokio::sync::Notify;
 
 use crate::{Clock, Time, SECOND};
@@ -49,7 +49,7 @@
     pub options: Options,
     pub clock: Clock,
     pub chance: fastrand::Rng,
-    pub holder: Holder,
+    pub holder: JobAgent,
     pub disk: disk::Disk,
     /// Calls to where effects land.
     pub calls: u64,
@@ -86,13 +86,13 @@
         let over =
             if self.alive { !self.holder.may_work(now) } else { now >= self.began + self.options.lease };
         if over && !self.options.ignores_lease {
-            self.over();
+            self.next_incarnation();
         }
         over && !self.options.ignores_lease
     }
 
     /// The life is over, by the clock or by a steward's word.
-    pub fn over(&mut self) {
+    pub fn next_incarnation(&mut self) {
         let next = Core::life(&mut self.chance);
         self.before.push(self.holder.life());
         // Some are enough: older ones have run out at the store.
@@ -101,7 +101,7 @@
         }
         self.disk.life(next);
         // Its runs see that they hold nothing any more, and end.
-        self.holder.over(next, self.options.lease, MARGIN);
+        self.holder.next_incarnation(next, self.options.lease, MARGIN);
         (self.alive, self.began, self.heard) = (false, self.clock.now(), self.clock.now());
     }
 }
@@ -113,7 +113,7 @@
         fastrand::Rng::with_seed(options.seed ^ clock.now() as u64 ^ u64::from(std::process::id()) << 32);
     let (disk, kept) = disk::Disk::open(&options.dir, options.forgets)?;
     let life = Core::life(&mut chance);
-    let mut holder = Holder::new(life, options.lease, MARGIN, options.room);
+    let mut holder = JobAgent::new(life, options.lease, MARGIN, options.room);
     holder.remember(kept.term);
     let mut core = Core {
         clock,
@@ -131,7 +131,7 @@
     };
     core.disk.life(life);
     for (job, token, ended) in kept.outcomes {
-        core.holder.keep(&job, token, ended);
+        core.holder.add_outcome(&job, token, ended);
     }
     let stewards = core.options.stewards.clone();
     let agent = Rc::new(Agent { core: RefCell::new(core), news: Notify::new() });
--- a/crates/standin/src/agent/runs.rs
+++ b/crates/standin/src/agent/runs.rs
@@ -57,12 +57,12 @@
     match ended {
         Ok(ended) => {
             core.disk.outcome(&job, token, &ended);
-            core.holder.keep(&job, token, ended);
+            core.holder.add_outcome(&job, token, ended);
         }
         Err(_) => {
             // Told to stop, or its life is over: it says so where the job was its own to the end.
             if core.holder.stop(&job, token) {
-                core.holder.keep(&job, token, Ended::Stopped);
+                core.holder.add_outcome(&job, token, Ended::Stopped);
             }
         }
     }
--- a/crates/standin/src/agent/streams.rs
+++ b/crates/standin/src/agent/streams.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
-use ravenspar_jobs::{Ended, Told};
+use ravenspar_jobs::{Ended, OrderOutcome};
 use ravenspar_protocol::{
     codec, kind, tag, Body, DecodeError, Frame, MAX_BODY_FROM_PROXY, MAX_BODY_FROM_STEWARD, VERSION,
 };
@@ -87,8 +87,8 @@
     let core = &mut *agent.core.borrow_mut();
     let now = core.clock.now();
     let mut said = Vec::new();
-    if *life != core.holder.life() {
-        *life = core.holder.life();
+    if *life != core.holder.incarnation() {
+        *life = core.holder.incarnation();
         let mut site = Frame::new(kind::SITE);
         site.numbers(tag::VERSION, &[VERSION]);
         site.text(tag::LIFE, &[*life, 1, core.options.room as u64], &core.options.name);
@@ -185,24 +185,24 @@
                 core.heard = now;
             }
         }
-        (kind::OVER, _) if life == core.holder.life() && core.alive && !core.options.ignores_lease => {
-            core.over();
+        (kind::OVER, _) if life == core.holder.incarnation() && core.alive && !core.options.ignores_lease => {
+            core.next_incarnation();
             agent.news.notify_waiters();
         }
         (kind::GIVE, Some((job, token))) => match core.holder.begin(now, term, life, job, token, spec) {
-            Told::Begin { record } => {
+            OrderOutcome::Begin { record } => {
                 if record {
                     core.disk.term(term);
                 }
                 tokio::task::spawn_local(runs::run(agent.clone(), job.to_owned(), token, spec.to_owned()));
             }
-            Told::Refused(holds) => {
+            OrderOutcome::Refused(holds) => {
                 return Ok(vec![Frame::new(kind::HOLDS).numbers(tag::TERM, &[holds]).finish()]);
             }
-            Told::Known | Told::Old => {}
+            OrderOutcome::Known | OrderOutcome::Stale => {}
         },
         (kind::STOP, Some((job, token))) if core.holder.stop(job, token) => {
-            core.holder.keep(job, token, Ended::Stopped);
+            core.holder.add_outcome(job, token, Ended::Stopped);
             agent.news.notify_waiters();
         }
         (kind::VERDICT, Some((job, token))) => {
--- a/crates/standin/src/effects.rs
+++ b/crates/standin/src/effects.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
-use ravenspar_duty::Taker;
+use ravenspar_duty::EffectReceiver;
 use ravenspar_protocol::codec;
 use serde::{Deserialize, Serialize};
 use tokio::net::{TcpListener, TcpStream};
@@ -50,7 +50,7 @@
 }
 
 struct Inner {
-    taker: Taker<String>,
+    effect_receiver: EffectReceiver<String>,
     landed: BTreeMap<String, u64>,
     landings: Vec<Landing>,
     /// It has no memory, neither of tokens nor of steps: a taker that is none.
@@ -66,7 +66,7 @@
     /// `jobs`: remembered at most.
     pub fn new(jobs: usize, forgets: bool, now: impl Fn() -> Time + 'static) -> Effects {
         Effects(Rc::new(RefCell::new(Inner {
-            taker: Taker::new(jobs),
+            effect_receiver: EffectReceiver::new(jobs),
             landed: BTreeMap::new(),
             landings: Vec::new(),
             forgets,
@@ -108,11 +108,11 @@
         let (job, token) = match &call {
             Call::Open { job, token, .. } | Call::Step { job, token, .. } => (job.clone(), *token),
         };
-        let refused = if inner.forgets { None } else { inner.taker.take(job.clone(), token).err() };
+        let refused = if inner.forgets { None } else { inner.effect_receiver.take(job.clone(), token).err() };
         let landed = inner.landed.entry(job).or_default();
         let mut effect = false;
         let answer = match (refused, &call) {
-            (Some(refused), _) => Answer::Refused(refused.holds),
+            (Some(refused), _) => Answer::Refused(refused.highest_term),
             (None, Call::Open { .. }) => Answer::Landed(if inner.forgets { 0 } else { *landed }),
             (None, Call::Step { step, .. }) => {
                 effect = inner.forgets || *step == *landed;
