--- a/crates/lab/src/day.rs
+++ b/crates/lab/src/day.rs
@@ -16,7 +16,7 @@
         let text = String::deserialize(from)?;
         let expected =
             || serde::de::Error::custom(format!("{text}: expected a time with its unit, as 4s or 250ms"));
-        yaml::seconds(&text).map(|seconds| Span((seconds * SECOND as f64) as Time)).ok_or_else(expected)
+        yaml::parse_seconds(&text).map(|seconds| Span((seconds * SECOND as f64) as Time)).ok_or_else(expected)
     }
 }
 
--- a/crates/lab/src/fleet/play.rs
+++ b/crates/lab/src/fleet/play.rs
@@ -198,7 +198,7 @@
             }
             let start = self.starts.borrow()[n];
             let (_, own) = self.datagrams.of(n);
-            let Ok(answer) = ravenspar::ask_fleet(own, &key).await else { continue };
+            let Ok(answer) = ravenspar::query_fleet(own, &key).await else { continue };
             if self.starts.borrow()[n] != start {
                 continue;
             }
--- a/crates/lab/src/stage.rs
+++ b/crates/lab/src/stage.rs
@@ -55,7 +55,7 @@
 }
 
 /// Writes the steward's settings into the folder and reads them as the steward will.
-pub fn settle(day: &Day, file: &Path, dir: &Path) -> Result<(settings::Checked, Rules), Fault> {
+pub fn settle(day: &Day, file: &Path, dir: &Path) -> Result<(settings::ValidatedSettings, Rules), Fault> {
     let mut cfg = day.steward.clone();
     let Some(map) = cfg.as_object_mut() else {
         return Err(Fault::Input(format!("{}:1:1: steward: expected a map of settings", file.display())));
@@ -77,7 +77,7 @@
 }
 
 /// The settings and rules of a kept day.
-pub fn rules(dir: &Path) -> Result<(settings::Checked, Rules), String> {
+pub fn rules(dir: &Path) -> Result<(settings::ValidatedSettings, Rules), String> {
     let cfg = settings::load(&dir.join("steward.yaml")).map_err(|faults| faults.to_string())?;
     let rules = Rules::new(&cfg.map).ok_or("the settings lack a figure of the rules")?;
     Ok((cfg, rules))
@@ -129,7 +129,7 @@
         let timeout = |k: usize| {
             let kinds = day.steward.get("kinds").and_then(|kinds| kinds.get(k));
             let text = kinds.and_then(|kind| kind.get("client_timeout")).and_then(|t| t.as_str());
-            text.and_then(ravenspar::yaml::seconds).map_or(SECOND, |s| (s * SECOND as f64) as i64)
+            text.and_then(ravenspar::yaml::parse_seconds).map_or(SECOND, |s| (s * SECOND as f64) as i64)
         };
         let replayable = |k: usize| {
             let kinds = day.steward.get("kinds").and_then(|kinds| kinds.get(k));
@@ -321,7 +321,7 @@
     }
 
     /// Waits until forwarders answer a req for every slice, or says that they never did.
-    pub async fn warm_up(&self, checked: &settings::Checked) -> Result<(), Fault> {
+    pub async fn warm_up(&self, checked: &settings::ValidatedSettings) -> Result<(), Fault> {
         let slices = checked.map.number("family_info.ranges").unwrap_or(0.0) as u64;
         let lease = checked.map.time("family_info.write_lease_s").unwrap_or(SECOND);
         let settle = checked.map.time("family_info.settle_s").unwrap_or(SECOND);
--- a/crates/ravenspar/src/cli.rs
+++ b/crates/ravenspar/src/cli.rs
@@ -8,7 +8,7 @@
 use clap::{Parser, Subcommand, ValueEnum};
 use ravenspar_record::Record;
 
-use crate::failpoint::Halt;
+use crate::failpoint::Failpoint;
 use crate::process::CommandError;
 use crate::serve::serve;
 use crate::{logs, members, print_line, settings, shared};
@@ -39,10 +39,10 @@
         file: PathBuf,
         /// Abort the Nth time that a failpoint is reached, as recorded:N, for tests; `failpoint.rs` lists the points.
         #[arg(long, hide = true)]
-        halt: Option<Halt>,
+        halt: Option<Failpoint>,
         /// Stop the process (SIGSTOP) at a failpoint, for tests.
         #[arg(long, hide = true, conflicts_with = "halt")]
-        pause: Option<Halt>,
+        pause: Option<Failpoint>,
         /// Shift the wall clock by this number of seconds, for tests.
         #[arg(long, hide = true, default_value_t = 0, allow_hyphen_values = true)]
         clock_off: i64,
@@ -118,7 +118,7 @@
     };
     let done = match cli.command {
         Command::Serve { file, halt, pause, clock_off, without } => {
-            start(&file, halt.or(pause.map(Halt::pausing)), clock_off, &without)
+            start(&file, halt.or(pause.map(Failpoint::pausing)), clock_off, &without)
         }
         Command::Platform { config } => platform(&config),
         Command::Check { file } => check(&file),
@@ -140,7 +140,7 @@
     }
 }
 
-fn load(file: &Path) -> Result<settings::Checked, CommandError> {
+fn load(file: &Path) -> Result<settings::ValidatedSettings, CommandError> {
     settings::load(file).map_err(|errors| CommandError::InvalidInput(errors.to_string()))
 }
 
@@ -159,7 +159,7 @@
 
 fn start(
     file: &Path,
-    failpoint: Option<Halt>,
+    failpoint: Option<Failpoint>,
     clock_off: i64,
     without: &[Without],
 ) -> Result<(), CommandError> {
@@ -244,7 +244,7 @@
 }
 
 /// The settings of the shared store, which the command needs.
-fn share_settings(cfg: &settings::Checked, file: &Path) -> Result<settings::Share, CommandError> {
+fn share_settings(cfg: &settings::ValidatedSettings, file: &Path) -> Result<settings::Share, CommandError> {
     cfg.share
         .clone()
         .ok_or_else(|| CommandError::InvalidInput(format!("{}: expected store: etcd", file.display())))
@@ -353,7 +353,11 @@
 }
 
 /// Shows the record in a shared store, with the steward that each slice is assigned to.
-fn show_shared(cfg: &settings::Checked, share: &settings::Share, json: bool) -> Result<(), CommandError> {
+fn show_shared(
+    cfg: &settings::ValidatedSettings,
+    share: &settings::Share,
+    json: bool,
+) -> Result<(), CommandError> {
     let slices = cfg.map.number("family_info.ranges").unwrap_or(0.0) as usize;
     let (snapshot, rows) = call_store(share, async |store, keys| {
         let snapshot = shared::snapshot(store, keys, 0).await?;
--- a/crates/ravenspar/src/core.rs
+++ b/crates/ravenspar/src/core.rs
@@ -6,14 +6,14 @@
 use ravenspar_record::SliceRow;
 use ravenspar_steward::{ListScope, Time};
 
-use crate::failpoint::{Halt, Point};
+use crate::failpoint::{Failpoint, Point};
 use crate::fleet::{Fleet, FleetEvent};
 use crate::list::{self, Notification};
 use crate::process::CommandError;
 use crate::recorder::RecordUpdate;
 use crate::shared::Event;
 use crate::state::{Core, End, Shared};
-use crate::streams::{self, Input, Stream};
+use crate::streams::{self, Stream, StreamEvent};
 
 /// Waits for the next event of the incarnation; forever if the steward doesn't share.
 async fn next_sharing_event(shared: &mut Option<Shared>) -> Event {
@@ -77,7 +77,7 @@
                 Some(event) = self.stream_events.recv() => {
                     self.handle_stream_event(event);
                     // Takes in all that has arrived meanwhile before anything is decided.
-                    for _ in 0..streams::INPUTS {
+                    for _ in 0..streams::EVENT_QUEUE_CAPACITY {
                         let Ok(event) = self.stream_events.try_recv() else { break };
                         self.handle_stream_event(event);
                     }
@@ -107,7 +107,7 @@
             if let Some(ticket) = self.recorder.durable() {
                 if self.stats.last_durable.replace(ticket) != Some(ticket) {
                     tracing::debug!(ticket, "lines are durable");
-                    Halt::meet(&mut self.process.failpoint, Point::Recorded);
+                    Failpoint::hit(&mut self.process.failpoint, Point::Recorded);
                 }
                 self.host.recorded(ticket);
             }
@@ -171,12 +171,12 @@
         self.host.opened(self.clock.now(), number);
     }
 
-    fn handle_stream_event(&mut self, event: Input) {
+    fn handle_stream_event(&mut self, event: StreamEvent) {
         let now = self.clock.now();
         match event {
-            Input::Frame(stream, body) => self.host.frame(now, stream, &body),
-            Input::Sent(stream) => self.host.sent(now, stream),
-            Input::Closed(stream) => {
+            StreamEvent::Frame(stream, body) => self.host.frame(now, stream, &body),
+            StreamEvent::Sent(stream) => self.host.sent(now, stream),
+            StreamEvent::Closed(stream) => {
                 if self.streams.remove(&stream).is_some() {
                     tracing::info!(stream, "a stream ended");
                 }
@@ -246,7 +246,7 @@
                 Output::Frame { stream, body } => {
                     self.stats.messages += u64::from(body.first() == Some(&ravenspar_protocol::kind::TABLE));
                     if body.first() == Some(&ravenspar_protocol::kind::TABLE) {
-                        Halt::meet(&mut self.process.failpoint, Point::Message);
+                        Failpoint::hit(&mut self.process.failpoint, Point::Message);
                         tracing::debug!(stream, bytes = body.len(), "a message leaves");
                     }
                     if let Some(stream) = self.streams.get(&stream) {
--- a/crates/ravenspar/src/failpoint.rs
+++ b/crates/ravenspar/src/failpoint.rs
@@ -25,7 +25,7 @@
 
 /// Aborts or stops the process the nth time that a point is reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Halt {
+pub struct Failpoint {
     point: Point,
     /// How often the point is still to be reached.
     remaining: u64,
@@ -33,10 +33,10 @@
     aborts: bool,
 }
 
-impl FromStr for Halt {
+impl FromStr for Failpoint {
     type Err = String;
 
-    fn from_str(text: &str) -> Result<Halt, String> {
+    fn from_str(text: &str) -> Result<Failpoint, String> {
         let expected = || {
             format!("{text}: expected recorded:N, message:N, take:N, renew:N, claim:N, claimed:N, effect:N or effected:N")
         };
@@ -53,25 +53,25 @@
             _ => return Err(expected()),
         };
         let remaining = number.parse().ok().filter(|&number| number > 0).ok_or_else(expected)?;
-        Ok(Halt { point, remaining, aborts: true })
+        Ok(Failpoint { point, remaining, aborts: true })
     }
 }
 
-impl Halt {
+impl Failpoint {
     /// The same failpoint, but it stops the process instead of aborting it.
-    pub fn pausing(self) -> Halt {
-        Halt { aborts: false, ..self }
+    pub fn pausing(self) -> Failpoint {
+        Failpoint { aborts: false, ..self }
     }
 
-    /// Counts that `point` was reached, and acts if `halt` is due. A failpoint acts once.
-    pub fn meet(halt: &mut Option<Halt>, point: Point) {
-        let Some(matching) = halt.as_mut().filter(|halt| halt.point == point) else { return };
+    /// Counts that `point` was reached, and acts if `failpoint` is due. A failpoint acts once.
+    pub fn hit(failpoint: &mut Option<Failpoint>, point: Point) {
+        let Some(matching) = failpoint.as_mut().filter(|failpoint| failpoint.point == point) else { return };
         matching.remaining -= 1;
         if matching.remaining > 0 {
             return;
         }
         let aborts = matching.aborts;
-        *halt = None;
+        *failpoint = None;
         if aborts {
             std::process::abort();
         }
--- a/crates/ravenspar/src/lib.rs
+++ b/crates/ravenspar/src/lib.rs
@@ -25,7 +25,7 @@
 use failpoint as halt;
 use supervisor as watched;
 
-pub use fleet::{query as ask_fleet, Answer};
+pub use fleet::{query as query_fleet, Answer};
 
 /// Prints a line on standard output. Write errors are ignored: a closed pipe is no reason to stop.
 pub fn print_line(line: impl std::fmt::Display) {
--- a/crates/ravenspar/src/process.rs
+++ b/crates/ravenspar/src/process.rs
@@ -10,7 +10,7 @@
 use tokio::signal::unix::Signal;
 use tokio::sync::mpsc;
 
-use crate::failpoint::Halt;
+use crate::failpoint::Failpoint;
 use crate::fleet::Fleet;
 use crate::list::Notification;
 use crate::recorder::Recorder;
@@ -36,7 +36,7 @@
     pub interrupt: Signal,
     /// Limit on open streams: two for each proxy (its own and a replacement), and some that have not said hello.
     pub max_streams: usize,
-    pub failpoint: Option<Halt>,
+    pub failpoint: Option<Failpoint>,
     /// The listener for the agents of sites, if the jobs duty is configured.
     pub agents: Option<std::sync::Arc<TcpListener>>,
     /// The view of the fleet, if one is configured.
--- a/crates/ravenspar/src/recorder.rs
+++ b/crates/ravenspar/src/recorder.rs
@@ -26,7 +26,7 @@
 
 /// The updates of one write, merged: each slice at most once, with its last row.
 #[derive(Debug, Default)]
-pub struct Gathered {
+pub struct MergedUpdates {
     pub slices: Vec<SliceRow>,
     pub list: Option<Vec<ServerRow>>,
     pub followed: Option<ravenspar_list::FollowState>,
@@ -34,9 +34,9 @@
 }
 
 /// The storage of a record: the embedded file, or a store shared with other stewards.
-pub trait Keep: Send + 'static {
+pub trait RecordStorage: Send + 'static {
     /// Returns once the updates are durable. After an error nothing that depends on them may be sent.
-    fn write(&mut self, gathered: Gathered) -> impl Future<Output = Result<(), String>> + Send;
+    fn write(&mut self, merged: MergedUpdates) -> impl Future<Output = Result<(), String>> + Send;
 }
 
 /// How long a failed write is retried, for a full disk or a device that fails for a while. Nothing that depends on the
@@ -46,34 +46,34 @@
 /// Interval between attempts to write.
 const WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-impl Keep for Record {
-    async fn write(&mut self, gathered: Gathered) -> Result<(), String> {
+impl RecordStorage for Record {
+    async fn write(&mut self, merged: MergedUpdates) -> Result<(), String> {
         let deadline = Instant::now() + WRITE_RETRY_TIMEOUT;
-        let mut result = write_all(self, &gathered);
+        let mut result = write_all(self, &merged);
         while let Err(error) = &result {
             if Instant::now() >= deadline {
                 break;
             }
             tracing::warn!(fault = %error, "the record is tried again");
             std::thread::sleep(WRITE_RETRY_INTERVAL);
-            result = self.reopen().and_then(|()| write_all(self, &gathered));
+            result = self.reopen().and_then(|()| write_all(self, &merged));
         }
         result.map_err(|error| error.to_string())
     }
 }
 
 /// Writes all updates, the follow state before its list.
-fn write_all(record: &Record, gathered: &Gathered) -> Result<(), ravenspar_record::RecordError> {
-    if let Some(seen) = gathered.seen {
+fn write_all(record: &Record, merged: &MergedUpdates) -> Result<(), ravenspar_record::RecordError> {
+    if let Some(seen) = merged.seen {
         record.save_store_position(Some(seen))?;
     }
-    if let Some(state) = &gathered.followed {
+    if let Some(state) = &merged.followed {
         record.save_list_state(state.cluster, state.revision, &state.retired)?;
     }
-    if gathered.slices.is_empty() && gathered.list.is_none() {
+    if merged.slices.is_empty() && merged.list.is_none() {
         return Ok(());
     }
-    record.write(&gathered.slices, gathered.list.as_deref())
+    record.write(&merged.slices, merged.list.as_deref())
 }
 
 /// How long a process that ends waits for queued updates. Nothing that depends on them was sent, so that they may be lost.
@@ -110,15 +110,15 @@
     }
 
     /// Takes the next write, and the last ticket in it.
-    fn take(&mut self) -> (Gathered, Option<u64>) {
+    fn take(&mut self) -> (MergedUpdates, Option<u64>) {
         let slices = std::mem::take(&mut self.slices).into_values().collect();
-        let gathered = Gathered {
+        let merged = MergedUpdates {
             slices,
             list: self.list.take(),
             followed: self.followed.take(),
             seen: self.seen.take(),
         };
-        (gathered, self.ticket.take())
+        (merged, self.ticket.take())
     }
 }
 
@@ -135,7 +135,7 @@
     }
 
     /// Waits for the next write. Returns `None` once the queue is closed and empty.
-    async fn next(&self) -> Option<(Gathered, Option<u64>)> {
+    async fn next(&self) -> Option<(MergedUpdates, Option<u64>)> {
         loop {
             {
                 let mut waiting = self.lock();
@@ -186,7 +186,7 @@
 
 impl Recorder {
     /// Writes in a dedicated thread, for storage that blocks.
-    pub fn in_thread(storage: impl Keep) -> std::io::Result<Recorder> {
+    pub fn in_thread(storage: impl RecordStorage) -> std::io::Result<Recorder> {
         let queue = Arc::new(Queue::default());
         let updates = QueueHandle(queue.clone());
         let progress = Arc::new(Progress::default());
@@ -201,7 +201,7 @@
     }
 
     /// Writes in a task, for storage that awaits responses.
-    pub fn in_task(storage: impl Keep) -> Recorder {
+    pub fn in_task(storage: impl RecordStorage) -> Recorder {
         let queue = Arc::new(Queue::default());
         let updates = QueueHandle(queue.clone());
         let progress = Arc::new(Progress::default());
@@ -272,10 +272,10 @@
     }
 }
 
-async fn run(mut storage: impl Keep, queue: &Queue, progress: &Progress) {
+async fn run(mut storage: impl RecordStorage, queue: &Queue, progress: &Progress) {
     let _guard = FailOnDrop(progress);
-    while let Some((gathered, last)) = queue.next().await {
-        if let Err(error) = storage.write(gathered).await {
+    while let Some((merged, last)) = queue.next().await {
+        if let Err(error) = storage.write(merged).await {
             return progress.fail(error);
         }
         progress.commits.fetch_add(1, Ordering::Relaxed);
--- a/crates/ravenspar/src/recorder/tests.rs
+++ b/crates/ravenspar/src/recorder/tests.rs
@@ -6,8 +6,8 @@
     panics: bool,
 }
 
-impl Keep for FailingStorage {
-    async fn write(&mut self, _: Gathered) -> Result<(), String> {
+impl RecordStorage for FailingStorage {
+    async fn write(&mut self, _: MergedUpdates) -> Result<(), String> {
         if self.after == 0 {
             assert!(!self.panics, "injected panic in the writer");
             return Err("the disk is full".to_owned());
@@ -44,8 +44,8 @@
 /// Never finishes a write.
 struct StalledStorage;
 
-impl Keep for StalledStorage {
-    async fn write(&mut self, _: Gathered) -> Result<(), String> {
+impl RecordStorage for StalledStorage {
+    async fn write(&mut self, _: MergedUpdates) -> Result<(), String> {
         std::future::pending().await
     }
 }
--- a/crates/ravenspar/src/serve.rs
+++ b/crates/ravenspar/src/serve.rs
@@ -10,12 +10,12 @@
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::mpsc;
 
-use crate::failpoint::Halt;
+use crate::failpoint::Failpoint;
 use crate::list::{self, ListFile, Notification, Source};
 use crate::list_store::EtcdList;
 use crate::process::{CommandError, ProcessContext};
 use crate::recorder::{RecordUpdate, Recorder};
-use crate::settings::Checked;
+use crate::settings::ValidatedSettings;
 use crate::shared::{backward, Joining, Keys, Life, Snapshot};
 use crate::state::{Core, End, Shared};
 use ravenspar_net::Clock;
@@ -36,8 +36,8 @@
 /// Serves until SIGTERM or SIGINT. `clock_off` shifts the wall clock, for tests. `listening` is called with the
 /// address of the listener for proxies and that for agents of sites.
 pub async fn serve(
-    mut cfg: Checked,
-    failpoint: Option<Halt>,
+    mut cfg: ValidatedSettings,
+    failpoint: Option<Failpoint>,
     clock_off: Time,
     listening: impl FnOnce(SocketAddr, Option<SocketAddr>),
 ) -> Result<(), CommandError> {
@@ -151,7 +151,7 @@
 /// Serves as one of several stewards. When an incarnation ends, the steward joins again as a new one, which has no slices
 /// assigned at first.
 async fn serve_shared(
-    cfg: &Checked,
+    cfg: &ValidatedSettings,
     process: &mut ProcessContext,
     address: SocketAddr,
     mut seen: Option<(u64, u64)>,
@@ -272,7 +272,7 @@
     number: u64,
     address: &str,
     seen: Option<(u64, u64)>,
-    failpoint: Option<Halt>,
+    failpoint: Option<Failpoint>,
 ) -> Result<(Life, Snapshot), JoinError> {
     let snapshot = crate::shared::snapshot(&*joining.store, &joining.keys, 0).await;
     let snapshot = snapshot.map_err(|error| JoinError::Failed(error.to_string()))?;
--- a/crates/ravenspar/src/settings.rs
+++ b/crates/ravenspar/src/settings.rs
@@ -17,7 +17,7 @@
 
 /// Settings that passed every checker.
 #[derive(Clone, Debug)]
-pub struct Checked {
+pub struct ValidatedSettings {
     pub listen: String,
     pub record: PathBuf,
     pub list: PathBuf,
@@ -90,7 +90,7 @@
 }
 
 /// Reads and checks a file. Relative paths in it start from its folder.
-pub fn load(path: &Path) -> Result<Checked, ParseErrors> {
+pub fn load(path: &Path) -> Result<ValidatedSettings, ParseErrors> {
     let tree = yaml::read(path)?;
     let mut checker = Checker { errors: Vec::new(), map: Settings::default(), program_values: Vec::new() };
     checker.map(&tree, "", SETTINGS, "", &["kinds"]);
@@ -113,7 +113,7 @@
     let list_store = list_store(&value_of, &mut section_errors, &tree);
     let jobs = jobs(&value_of, &mut section_errors, &tree);
     let debts = debts(&value_of, &mut section_errors, &tree);
-    let checked = Checked {
+    let checked = ValidatedSettings {
         share,
         fleet,
         jobs,
--- a/crates/ravenspar/src/settings/check.rs
+++ b/crates/ravenspar/src/settings/check.rs
@@ -161,7 +161,9 @@
     };
     match value_type {
         // The resolution of `Time` is 0.1 ms.
-        ValueType::Time => yaml::seconds(text).filter(|time| *time >= 0.0001).map(|time| time.to_string()),
+        ValueType::Time => {
+            yaml::parse_seconds(text).filter(|time| *time >= 0.0001).map(|time| time.to_string())
+        }
         ValueType::Count(low, high) => number(low, high).filter(|text| text.parse::<u64>().is_ok()),
         ValueType::Number(low, high) => number(low, high),
         ValueType::Flag => Some(text.to_owned()).filter(|text| text == "true" || text == "false"),
--- a/crates/ravenspar/src/shared/session.rs
+++ b/crates/ravenspar/src/shared/session.rs
@@ -16,10 +16,10 @@
 
 use super::rows::{Keys, Member};
 use super::store::{record, snapshot, MemberWriter, Snapshot, WriteError};
-use crate::halt::Halt;
-use crate::recorder::{Gathered, Keep, Recorder};
+use crate::failpoint::Failpoint;
+use crate::recorder::{MergedUpdates, RecordStorage, Recorder};
 use crate::settings::{Debts, Jobs, Share};
-use crate::watched::watched;
+use crate::supervisor::spawn_supervised;
 use crate::work::{MembershipStatus, Work, WorkContext};
 use ravenspar_net::Clock;
 
@@ -119,9 +119,9 @@
 /// Writes slices' records through the member's writer, so that they are in order with the changes of assignments.
 struct RecordWriter(Arc<Mutex<MemberWriter>>);
 
-impl Keep for RecordWriter {
-    async fn write(&mut self, gathered: Gathered) -> Result<(), String> {
-        let written = self.0.lock().await.write_records(&gathered.slices).await;
+impl RecordStorage for RecordWriter {
+    async fn write(&mut self, merged: MergedUpdates) -> Result<(), String> {
+        let written = self.0.lock().await.write_records(&merged.slices).await;
         written.map_err(|stop| match stop {
             WriteError::ConditionFailed => "a slice to be recorded is assigned to another steward".to_owned(),
             WriteError::Fatal(why) => why,
@@ -136,7 +136,7 @@
         joining: &Joining,
         number: u64,
         address: &str,
-        failpoint: Option<Halt>,
+        failpoint: Option<Failpoint>,
     ) -> Result<Life, String> {
         let Joining { share, store, keys, clock, .. } = joining.clone();
         let lease = Time::from(share.member_lease) * SECOND;
@@ -202,7 +202,7 @@
     /// it would go on with stale knowledge, or wait for a step that never ends.
     fn start_task(&mut self, what: &'static str, task: impl Future<Output = ()> + Send + 'static) {
         self.tasks.retain(|task| !task.is_finished());
-        self.tasks.push(watched(what, task, self.events.clone(), Event::Over));
+        self.tasks.push(spawn_supervised(what, task, self.events.clone(), Event::Over));
     }
 
     /// Waits for the next event.
--- a/crates/ravenspar/src/sharing.rs
+++ b/crates/ravenspar/src/sharing.rs
@@ -6,7 +6,7 @@
 use ravenspar_sharing::Step;
 use ravenspar_steward::{Time, SECOND};
 
-use crate::failpoint::{Halt, Point};
+use crate::failpoint::{Failpoint, Point};
 use crate::recorder::RecordUpdate;
 use crate::shared::{backward, Event, From, EARLY};
 use crate::state::{Core, End};
@@ -178,7 +178,7 @@
         }
         if now >= shared.incarnation.membership.renew_at() {
             shared.incarnation.renew(now);
-            Halt::meet(&mut self.process.failpoint, Point::Renew);
+            Failpoint::hit(&mut self.process.failpoint, Point::Renew);
         }
         if now >= shared.seen_recorded_at + 10 * SECOND {
             shared.seen_recorded_at = now;
@@ -236,7 +236,7 @@
             }
             step => {
                 if matches!(step, Step::TakeOver { .. }) {
-                    Halt::meet(&mut self.process.failpoint, Point::Take);
+                    Failpoint::hit(&mut self.process.failpoint, Point::Take);
                 }
                 shared.incarnation.carry_out(step);
                 None
--- a/crates/ravenspar/src/state.rs
+++ b/crates/ravenspar/src/state.rs
@@ -15,7 +15,7 @@
 use crate::process::ProcessContext;
 use crate::recorder::Recorder;
 use crate::shared::Life;
-use crate::streams::{self, Input, Stream};
+use crate::streams::{self, Stream, StreamEvent};
 
 /// How the core's loop ended, other than by an error.
 pub enum End {
@@ -48,8 +48,8 @@
     pub recorder: Rc<Recorder>,
     pub shared: Option<Shared>,
     pub streams: BTreeMap<u64, Stream>,
-    pub stream_events_tx: mpsc::Sender<Input>,
-    pub stream_events: mpsc::Receiver<Input>,
+    pub stream_events_tx: mpsc::Sender<StreamEvent>,
+    pub stream_events: mpsc::Receiver<StreamEvent>,
     /// The number of the next stream.
     pub next_stream: u64,
     pub stats: RunStats,
@@ -63,7 +63,7 @@
 
 impl<'a> Core<'a> {
     pub fn new(process: &'a mut ProcessContext, host: Host, shared: Option<Shared>) -> Core<'a> {
-        let (stream_events_tx, stream_events) = mpsc::channel(streams::INPUTS);
+        let (stream_events_tx, stream_events) = mpsc::channel(streams::EVENT_QUEUE_CAPACITY);
         let clock = process.clock;
         let recorder =
             shared.as_ref().map_or(&process.embedded, |shared| &shared.incarnation.recorder).clone();
--- a/crates/ravenspar/src/streams.rs
+++ b/crates/ravenspar/src/streams.rs
@@ -10,7 +10,7 @@
 
 /// An event of a stream, by the stream's number.
 #[derive(Debug)]
-pub enum Input {
+pub enum StreamEvent {
     Frame(u64, BytesMut),
     /// The socket has accepted the last frame that was handed to the writer.
     Sent(u64),
@@ -18,7 +18,7 @@
 }
 
 /// Capacity of the queue of events that all streams share; readers wait their turn while it is full.
-pub const INPUTS: usize = 256;
+pub const EVENT_QUEUE_CAPACITY: usize = 256;
 
 /// A frame being written, and the refusal that may follow a welcome: the host hands out no more at a time.
 pub const MAX_QUEUED_FRAMES: usize = 4;
@@ -43,7 +43,7 @@
     pub fn start(
         number: u64,
         socket: TcpStream,
-        events: &mpsc::Sender<Input>,
+        events: &mpsc::Sender<StreamEvent>,
         max_queued_frames: usize,
     ) -> Stream {
         let _ = socket.set_nodelay(true);
@@ -75,22 +75,22 @@
     socket.as_fd().try_clone_to_owned().ok().map(std::net::TcpStream::from)
 }
 
-async fn read_frames(number: u64, read: OwnedReadHalf, events: mpsc::Sender<Input>) {
+async fn read_frames(number: u64, read: OwnedReadHalf, events: mpsc::Sender<StreamEvent>) {
     let mut frames = FramedRead::new(read, codec(MAX_BODY_FROM_PROXY));
     // A frame over the size limit ends the stream, as a read error does.
     while let Some(Ok(body)) = frames.next().await {
-        if events.send(Input::Frame(number, body)).await.is_err() {
+        if events.send(StreamEvent::Frame(number, body)).await.is_err() {
             return;
         }
     }
-    let _ = events.send(Input::Closed(number)).await;
+    let _ = events.send(StreamEvent::Closed(number)).await;
 }
 
 async fn write_frames(
     number: u64,
     write: OwnedWriteHalf,
     mut queue: mpsc::Receiver<Bytes>,
-    events: mpsc::Sender<Input>,
+    events: mpsc::Sender<StreamEvent>,
 ) {
     /// How long the socket of a closing stream may take to accept a queued frame.
     const CLOSE_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(500);
@@ -108,10 +108,10 @@
             }
         };
         if sent.is_err() {
-            let _ = events.send(Input::Closed(number)).await;
+            let _ = events.send(StreamEvent::Closed(number)).await;
             return;
         }
-        if events.send(Input::Sent(number)).await.is_err() {
+        if events.send(StreamEvent::Sent(number)).await.is_err() {
             return;
         }
     }
--- a/crates/ravenspar/src/supervisor.rs
+++ b/crates/ravenspar/src/supervisor.rs
@@ -7,7 +7,7 @@
 
 /// Spawns a task and sends `on_panic(message)` to `failures` if it panics; a task that returns or is aborted is not
 /// reported. Guards against a core that waits forever for a result of a task that has panicked.
-pub fn watched<T: Send + 'static>(
+pub fn spawn_supervised<T: Send + 'static>(
     name: &'static str,
     task: impl Future<Output = ()> + Send + 'static,
     failures: mpsc::Sender<T>,
--- a/crates/ravenspar/src/work/executors.rs
+++ b/crates/ravenspar/src/work/executors.rs
@@ -10,9 +10,9 @@
 
 use super::rows::{self, OutcomeRecord, Reachability};
 use super::Event;
-use crate::halt::{Halt, Point};
+use crate::failpoint::{Failpoint, Point};
 use crate::shared::{encode_incarnation, Keys};
-use crate::watched::watched;
+use crate::supervisor::spawn_supervised;
 
 /// Capacity of the duty executor's queue: each caller has only a few commands in flight.
 const QUEUE_CAPACITY: usize = 64;
@@ -35,7 +35,7 @@
     pub keys: Keys,
     pub incarnation: u64,
     pub clock: Clock,
-    pub failpoint: Option<Halt>,
+    pub failpoint: Option<Failpoint>,
     /// The names of the duties, indexed by [`Duty`].
     pub duty_names: &'static [&'static str],
     pub events: mpsc::Sender<Event>,
@@ -53,14 +53,14 @@
                 }
             }
         };
-        (commands, watched("the executor for duties", task, events, Event::Terminated))
+        (commands, spawn_supervised("the executor for duties", task, events, Event::Terminated))
     }
 
     async fn execute(&mut self, command: DutyCommand) -> Event {
         match command {
             DutyCommand::Step { step, name } => {
                 let key = self.keys.duty(name);
-                Halt::meet(&mut self.failpoint, Point::Claim);
+                Failpoint::hit(&mut self.failpoint, Point::Claim);
                 let committed = match step {
                     Step::Claim { .. } => {
                         let then =
@@ -72,7 +72,7 @@
                         self.writer.commit(compare, vec![put(key, encode_incarnation(to), to)]).await
                     }
                 };
-                Halt::meet(&mut self.failpoint, Point::Claimed);
+                Failpoint::hit(&mut self.failpoint, Point::Claimed);
                 commit_event(committed, |term| Event::DutyStepDone { step, term })
             }
             DutyCommand::Lines { permit, writes } => {
@@ -148,9 +148,9 @@
             return Err(WriteError::ConditionFailed);
         };
         compare.push(at(self.keys.duty(self.duty_name(duty)), term));
-        Halt::meet(&mut self.failpoint, Point::Effect);
+        Failpoint::hit(&mut self.failpoint, Point::Effect);
         let committed = self.writer.commit(compare, then).await;
-        Halt::meet(&mut self.failpoint, Point::Effected);
+        Failpoint::hit(&mut self.failpoint, Point::Effected);
         committed
     }
 
@@ -213,7 +213,7 @@
                 }
             }
         };
-        (requests, watched("the executor for agents", task, events, Event::Terminated))
+        (requests, spawn_supervised("the executor for agents", task, events, Event::Terminated))
     }
 
     async fn execute(&mut self, requests: Vec<AgentRequest>) -> Vec<Event> {
--- a/crates/ravenspar/src/work/mod.rs
+++ b/crates/ravenspar/src/work/mod.rs
@@ -29,10 +29,10 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-use crate::halt::Halt;
+use crate::failpoint::Failpoint;
 use crate::settings;
 use crate::shared::Keys;
-use crate::streams::{self, Input, Stream};
+use crate::streams::{self, Stream, StreamEvent};
 
 use executors::{AgentExecutor, AgentRequest, DutyCommand, DutyExecutor};
 use poll::{PollRequest, PollResult, Poller};
@@ -134,7 +134,7 @@
     pub debts: Option<settings::Debts>,
     pub membership_status: watch::Receiver<MembershipStatus>,
     /// Where a test makes the process crash or pause.
-    pub failpoint: Option<Halt>,
+    pub failpoint: Option<Failpoint>,
 }
 
 /// The core's handle to the task; dropping it aborts the task and its children.
@@ -214,8 +214,8 @@
     uses_generation: u64,
     streams: BTreeMap<u64, Stream>,
     next_stream: u64,
-    inputs: mpsc::Sender<Input>,
-    queue: mpsc::Receiver<Input>,
+    inputs: mpsc::Sender<StreamEvent>,
+    queue: mpsc::Receiver<StreamEvent>,
     event_sender: mpsc::Sender<Event>,
     events: mpsc::Receiver<Event>,
     duty_commands: mpsc::Sender<DutyCommand>,
@@ -232,7 +232,7 @@
 
 impl Task {
     fn new(context: WorkContext, duty_count: watch::Sender<usize>) -> Task {
-        let (inputs, queue) = mpsc::channel(streams::INPUTS);
+        let (inputs, queue) = mpsc::channel(streams::EVENT_QUEUE_CAPACITY);
         let (event_sender, events) = mpsc::channel(EVENT_QUEUE_CAPACITY);
         let (store, keys) = (context.store.clone(), context.keys.clone());
         let (incarnation, clock) = (context.incarnation, context.clock);
@@ -337,7 +337,7 @@
                     return why;
                 }
             }
-            for _ in 0..streams::INPUTS {
+            for _ in 0..streams::EVENT_QUEUE_CAPACITY {
                 let Ok(input) = self.queue.try_recv() else { break };
                 self.handle_input(input);
             }
@@ -362,14 +362,14 @@
         self.streams.insert(number, Stream::start(number, socket, &self.inputs, STREAM_QUEUE_CAPACITY));
     }
 
-    fn handle_input(&mut self, input: Input) {
+    fn handle_input(&mut self, input: StreamEvent) {
         match input {
-            Input::Frame(stream, body) => match frames::decode(&body) {
+            StreamEvent::Frame(stream, body) => match frames::decode(&body) {
                 Ok(message) => self.handle_message(stream, message),
                 Err(why) => self.close(stream, &why.to_string()),
             },
-            Input::Sent(_) => {}
-            Input::Closed(stream) => {
+            StreamEvent::Sent(_) => {}
+            StreamEvent::Closed(stream) => {
                 self.streams.remove(&stream);
                 self.agent_sessions.closed(stream);
             }
--- a/crates/ravenspar/src/work/poll.rs
+++ b/crates/ravenspar/src/work/poll.rs
@@ -9,7 +9,7 @@
 
 use super::Event;
 use crate::shared::Keys;
-use crate::watched::watched;
+use crate::supervisor::spawn_supervised;
 
 /// Interval between polls. A job waits half of it on average before it reaches its site; five small reads a second
 /// cost the store little.
@@ -100,7 +100,7 @@
                 }
             }
         };
-        watched("the look at the store for duties", task, events, Event::Terminated)
+        spawn_supervised("the look at the store for duties", task, events, Event::Terminated)
     }
 
     /// Reads the state and what changed since the revision `since`; with `full`, all lines and jobs.
--- a/crates/ravenspar/src/yaml.rs
+++ b/crates/ravenspar/src/yaml.rs
@@ -128,7 +128,7 @@
 }
 
 /// Parses a time with its unit, such as `4s`, `250ms` or `2m`. Returns seconds.
-pub fn seconds(text: &str) -> Option<f64> {
+pub fn parse_seconds(text: &str) -> Option<f64> {
     let split = text.find(|c: char| c.is_ascii_alphabetic())?;
     let unit = match &text[split..] {
         "ms" => 0.001,
@@ -147,11 +147,11 @@
 
     #[test]
     fn times_need_a_unit() {
-        assert_eq!(seconds("250ms"), Some(0.25));
-        assert_eq!(seconds("4s"), Some(4.0));
-        assert_eq!(seconds("1.5 s"), Some(1.5));
+        assert_eq!(parse_seconds("250ms"), Some(0.25));
+        assert_eq!(parse_seconds("4s"), Some(4.0));
+        assert_eq!(parse_seconds("1.5 s"), Some(1.5));
         for bad in ["4", "s", "-4s", "4 parsecs", "", "nan s"] {
-            assert_eq!(seconds(bad), None, "{bad}");
+            assert_eq!(parse_seconds(bad), None, "{bad}");
         }
     }
 }
