--- a/crates/ravenspar/src/cli.rs
+++ b/crates/ravenspar/src/cli.rs
@@ -270,12 +270,13 @@
         member.map_or("gone", |(_, member)| &member.name)
     };
     let slices = cfg.map.number("family_info.ranges").unwrap_or(0.0) as usize;
-    let slice_count =
-        |incarnation: u64| snapshot.charges.iter().filter(|(_, steward, _)| *steward == incarnation).count();
+    let slice_count = |incarnation: u64| {
+        snapshot.assignments.iter().filter(|(_, steward, _)| *steward == incarnation).count()
+    };
     let is_member = |incarnation: u64| snapshot.members.iter().any(|(member, _)| *member == incarnation);
     let unassigned = slices
         - snapshot
-            .charges
+            .assignments
             .iter()
             .filter(|(slice, incarnation, _)| *slice < slices && is_member(*incarnation))
             .count();
@@ -361,13 +362,13 @@
     let slices = cfg.map.number("family_info.ranges").unwrap_or(0.0) as usize;
     let (snapshot, rows) = call_store(share, async |store, keys| {
         let snapshot = shared::snapshot(store, keys, 0).await?;
-        Ok((snapshot, shared::record(store, keys, 0, slices.saturating_sub(1)).await?))
+        Ok((snapshot, shared::read_slices(store, keys, 0, slices.saturating_sub(1)).await?))
     })?;
     let name = |incarnation: u64| {
         let member = snapshot.members.iter().find(|(member, _)| *member == incarnation);
         member.map_or("gone", |(_, member)| &member.name)
     };
-    let entries = snapshot.charges.iter().map(|&(slice, incarnation, term)| {
+    let entries = snapshot.assignments.iter().map(|&(slice, incarnation, term)| {
         let row = rows.iter().find(|row| row.slice as usize == slice);
         let owner = row.and_then(|row| row.owner.clone());
         let (weight, mark) = row.map_or((0, 0), |row| (row.weight, row.mark));
--- a/crates/ravenspar/src/serve.rs
+++ b/crates/ravenspar/src/serve.rs
@@ -16,7 +16,7 @@
 use crate::process::{CommandError, ProcessContext};
 use crate::recorder::{RecordUpdate, Recorder};
 use crate::settings::ValidatedSettings;
-use crate::shared::{backward, Joining, Keys, Life, Snapshot};
+use crate::shared::{history_error, JoinParams, Keys, MemberSession, Snapshot};
 use crate::state::{Core, End, Shared};
 use ravenspar_net::Clock;
 
@@ -165,12 +165,12 @@
     let store: ravenspar_store::SharedStore =
         std::sync::Arc::new(client.map_err(CommandError::InvalidInput)?);
     let keys = Keys::new(&share.prefix);
-    let joining = Joining {
+    let join_params = JoinParams {
         store,
         keys: keys.clone(),
         clock: process.clock,
         slices: cfg.map.number("family_info.ranges").unwrap_or(0.0) as usize,
-        pace: ravenspar_sharing::Fleet::pace(
+        hand_over_interval: ravenspar_sharing::Fleet::pace(
             cfg.map.time("family_info.update_window_s").unwrap_or(0),
             cfg.map.number("family_info.pushes_allowed").unwrap_or(0.0) as Time,
         ),
@@ -193,7 +193,7 @@
         let address = address.to_string();
         let joined = tokio::select! {
             () = shutdown_signal(&mut process.terminate, &mut process.interrupt) => return Ok(()),
-            joined = join(&joining, number, &address, seen, failpoint.filter(|_| failures == 0)) => joined,
+            joined = join(&join_params, number, &address, seen, failpoint.filter(|_| failures == 0)) => joined,
         };
         let why = match joined {
             Ok((incarnation, snapshot)) => {
@@ -216,7 +216,8 @@
                 if let Some(shared) = shared {
                     // Nothing is sent any more, so that the other stewards need not wait for the lease to expire. A store
                     // that doesn't answer is not waited for.
-                    let _ = tokio::time::timeout(joining.share.call_within, shared.incarnation.end()).await;
+                    let _ =
+                        tokio::time::timeout(join_params.share.call_within, shared.incarnation.end()).await;
                 }
                 match end {
                     End::Stopped => return Ok(()),
@@ -268,15 +269,16 @@
 
 /// Joins if the store is the one that was last seen, at the same revision or a newer one.
 async fn join(
-    joining: &Joining,
+    join_params: &JoinParams,
     number: u64,
     address: &str,
     seen: Option<(u64, u64)>,
     failpoint: Option<Failpoint>,
-) -> Result<(Life, Snapshot), JoinError> {
-    let snapshot = crate::shared::snapshot(&*joining.store, &joining.keys, 0).await;
+) -> Result<(MemberSession, Snapshot), JoinError> {
+    let snapshot = crate::shared::snapshot(&*join_params.store, &join_params.keys, 0).await;
     let snapshot = snapshot.map_err(|error| JoinError::Failed(error.to_string()))?;
-    backward(&snapshot, seen).map_or(Ok(()), |why| Err(JoinError::StoreMismatch(why)))?;
-    let incarnation = Life::join(joining, number, address, failpoint).await.map_err(JoinError::Failed)?;
+    history_error(&snapshot, seen).map_or(Ok(()), |why| Err(JoinError::StoreMismatch(why)))?;
+    let incarnation =
+        MemberSession::join(join_params, number, address, failpoint).await.map_err(JoinError::Failed)?;
     Ok((incarnation, snapshot))
 }
--- a/crates/ravenspar/src/shared/mod.rs
+++ b/crates/ravenspar/src/shared/mod.rs
@@ -6,8 +6,8 @@
 mod store;
 
 pub use rows::{decode_incarnation, encode_incarnation, Keys, Member};
-pub use session::{Event, From, Joining, Life, EARLY};
-pub use store::{backward, record, snapshot, with_duties, Snapshot};
+pub use session::{Event, JoinParams, MemberSession, Origin, EARLY_EXPIRY_GRACE};
+pub use store::{history_error, read_slices, snapshot, with_duties, Snapshot};
 
 #[cfg(test)]
 mod tests;
--- a/crates/ravenspar/src/shared/session.rs
+++ b/crates/ravenspar/src/shared/session.rs
@@ -15,7 +15,7 @@
 use tokio::task::AbortHandle;
 
 use super::rows::{Keys, Member};
-use super::store::{record, snapshot, MemberWriter, Snapshot, WriteError};
+use super::store::{read_slices, snapshot, MemberWriter, Snapshot, WriteError};
 use crate::failpoint::Failpoint;
 use crate::recorder::{MergedUpdates, RecordStorage, Recorder};
 use crate::settings::{Debts, Jobs, Share};
@@ -28,36 +28,36 @@
 pub enum Event {
     Snapshot(Snapshot),
     /// A call to the store failed, for this reason; the last known state is kept.
-    Away(String),
+    StoreUnavailable(String),
     /// The membership was renewed by the renewal sent at this time.
     Renewed(Time),
     /// Slices (with their terms) were assigned to this steward; `rows` is their record.
-    Serves {
+    Assigned {
         slices: Vec<(usize, u64)>,
         rows: Vec<SliceRow>,
-        from: From,
+        origin: Origin,
     },
     /// Slices were handed over to another steward, under a new term.
-    Gave {
+    HandedOver {
         slices: Vec<(usize, u64)>,
         to: u64,
         term: u64,
     },
     /// The step in progress has ended.
-    Done,
+    StepDone,
     /// The incarnation has to end, for this reason.
-    Over(String),
+    Terminated(String),
 }
 
 /// The previous state of a slice's assignment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum From {
+pub enum Origin {
     /// It was never assigned.
-    Nobody,
+    Unassigned,
     /// A member handed it over.
-    Given,
+    HandedOver,
     /// It was assigned to a steward whose membership has ended.
-    Gone,
+    Expired,
 }
 
 /// Capacity of the queue to the core; tasks wait while it is full.
@@ -68,25 +68,25 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// How long a steward may go on after the store has ended its membership early: until its next poll, doubled.
-pub const EARLY: Time = 2 * POLL_INTERVAL.as_millis() as Time * 10;
+pub const EARLY_EXPIRY_GRACE: Time = 2 * POLL_INTERVAL.as_millis() as Time * 10;
 
 /// What a steward needs to join the fleet.
 #[derive(Clone)]
-pub struct Joining {
+pub struct JoinParams {
     pub share: Share,
     pub store: SharedStore,
     pub keys: Keys,
     pub clock: Clock,
     pub slices: usize,
     /// The minimum time between two rounds of hand-overs.
-    pub pace: Time,
+    pub hand_over_interval: Time,
     /// The settings of the duty of jobs, if it is configured, with the listener for its agents.
     pub jobs: Option<(Jobs, Arc<tokio::net::TcpListener>)>,
     pub debts: Option<Debts>,
 }
 
 /// The membership of one incarnation, with the tasks that access the store for it; dropping it aborts them.
-pub struct Life {
+pub struct MemberSession {
     /// The incarnation, which is also its lease id.
     pub number: u64,
     pub term: u64,
@@ -102,7 +102,7 @@
     /// Fleet work, if it is configured.
     work: Option<Work>,
     member: Member,
-    joining: Joining,
+    join_params: JoinParams,
     writer: Arc<Mutex<MemberWriter>>,
     events: mpsc::Sender<Event>,
     queue: mpsc::Receiver<Event>,
@@ -110,7 +110,7 @@
     renewals_in_flight: Arc<std::sync::atomic::AtomicUsize>,
 }
 
-impl Drop for Life {
+impl Drop for MemberSession {
     fn drop(&mut self) {
         self.tasks.iter().for_each(AbortHandle::abort);
     }
@@ -129,16 +129,16 @@
     }
 }
 
-impl Life {
+impl MemberSession {
     /// Joins as a member. `number` is the incarnation, drawn at random and unique; `failpoint` is where a test makes
     /// its fleet work crash or pause.
     pub async fn join(
-        joining: &Joining,
+        join_params: &JoinParams,
         number: u64,
         address: &str,
         failpoint: Option<Failpoint>,
-    ) -> Result<Life, String> {
-        let Joining { share, store, keys, clock, .. } = joining.clone();
+    ) -> Result<MemberSession, String> {
+        let JoinParams { share, store, keys, clock, .. } = join_params.clone();
         let lease = Time::from(share.member_lease) * SECOND;
         let mut membership = Membership::new(lease, EXPIRY_MARGIN);
         let sent = clock.now();
@@ -158,25 +158,31 @@
         let writer = Arc::new(Mutex::new(writer));
         // Two polls pass before the first step, so that stewards that start together, or return with the store, share
         // the slices from the start.
-        let fleet = Fleet::new(clock.now(), number, joining.slices, joining.pace, EARLY);
+        let fleet = Fleet::new(
+            clock.now(),
+            number,
+            join_params.slices,
+            join_params.hand_over_interval,
+            EARLY_EXPIRY_GRACE,
+        );
         let (events, queue) = mpsc::channel(EVENT_QUEUE_CAPACITY);
         let recorder = Rc::new(Recorder::in_task(RecordWriter(writer.clone())));
         let (membership_status, status_receiver) =
             watch::channel(MembershipStatus { until: membership.until(), leaving: false });
-        let work = joining.jobs.clone().map(|(settings, listener)| {
+        let work = join_params.jobs.clone().map(|(settings, listener)| {
             Work::start(WorkContext {
-                store: joining.store.clone(),
-                keys: joining.keys.clone(),
-                clock: joining.clock,
+                store: join_params.store.clone(),
+                keys: join_params.keys.clone(),
+                clock: join_params.clock,
                 incarnation: number,
                 listener,
                 settings,
-                debts: joining.debts.clone(),
+                debts: join_params.debts.clone(),
                 membership_status: status_receiver,
                 failpoint,
             })
         });
-        let mut session = Life {
+        let mut session = MemberSession {
             number,
             term,
             fleet,
@@ -187,7 +193,7 @@
             membership_status,
             work,
             member,
-            joining: joining.clone(),
+            join_params: join_params.clone(),
             writer,
             events,
             queue,
@@ -202,7 +208,7 @@
     /// it would go on with stale knowledge, or wait for a step that never ends.
     fn start_task(&mut self, what: &'static str, task: impl Future<Output = ()> + Send + 'static) {
         self.tasks.retain(|task| !task.is_finished());
-        self.tasks.push(spawn_supervised(what, task, self.events.clone(), Event::Over));
+        self.tasks.push(spawn_supervised(what, task, self.events.clone(), Event::Terminated));
     }
 
     /// Waits for the next event.
@@ -215,8 +221,8 @@
         };
         tokio::select! {
             // The queue never closes, as `self` holds a sender.
-            event = self.queue.recv() => event.unwrap_or_else(|| Event::Over("all tasks of the membership have ended".to_owned())),
-            why = ended => Event::Over(why),
+            event = self.queue.recv() => event.unwrap_or_else(|| Event::Terminated("all tasks of the membership have ended".to_owned())),
+            why = ended => Event::Terminated(why),
         }
     }
 
@@ -228,30 +234,30 @@
     }
 
     /// Returns true if no duty is left to be handed over.
-    pub fn is_free(&self) -> bool {
-        self.work.as_ref().is_none_or(Work::is_free)
+    pub fn has_no_duty(&self) -> bool {
+        self.work.as_ref().is_none_or(Work::has_no_duty)
     }
 
     fn start_polls(&mut self) {
         /// Minimum interval between polls that hints trigger, so that hints can't overload the store.
         const MIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
-        let (events, joining, poll_trigger) =
-            (self.events.clone(), self.joining.clone(), self.poll_trigger.clone());
+        let (events, join_params, poll_trigger) =
+            (self.events.clone(), self.join_params.clone(), self.poll_trigger.clone());
         let frequent_polls_until = self.frequent_polls_until.clone();
         self.start_task("the look at the store", async move {
             let mut since = 0;
             loop {
-                let event = match snapshot(&*joining.store, &joining.keys, since).await {
+                let event = match snapshot(&*join_params.store, &join_params.keys, since).await {
                     Ok(snapshot) => {
                         since = snapshot.revision + 1;
                         Event::Snapshot(snapshot)
                     }
-                    Err(e) => Event::Away(e.to_string()),
+                    Err(e) => Event::StoreUnavailable(e.to_string()),
                 };
                 if events.send(event).await.is_err() {
                     return;
                 }
-                let interval = if joining.clock.now() < frequent_polls_until.load(Ordering::Relaxed) {
+                let interval = if join_params.clock.now() < frequent_polls_until.load(Ordering::Relaxed) {
                     MIN_POLL_INTERVAL
                 } else {
                     POLL_INTERVAL
@@ -271,14 +277,16 @@
 
     /// Polls the store at the minimum interval, as a steward is gone from the view of the fleet: its membership ends
     /// at the store within the time of a lease, and its slices may be taken from then on.
-    pub fn look_often(&self, now: Time) {
-        self.frequent_polls_until
-            .store(now + Time::from(self.joining.share.member_lease) * SECOND + SECOND, Ordering::Relaxed);
+    pub fn poll_often(&self, now: Time) {
+        self.frequent_polls_until.store(
+            now + Time::from(self.join_params.share.member_lease) * SECOND + SECOND,
+            Ordering::Relaxed,
+        );
         self.look();
     }
 
     /// Returns to the normal interval, as the store has ended a membership.
-    pub fn look_as_usual(&self) {
+    pub fn poll_normally(&self) {
         self.frequent_polls_until.store(Time::MIN, Ordering::Relaxed);
     }
 
@@ -292,46 +300,49 @@
         }
         self.renewals_in_flight.fetch_add(1, Ordering::Relaxed);
         let (events, store, renewals_in_flight) =
-            (self.events.clone(), self.joining.store.clone(), self.renewals_in_flight.clone());
+            (self.events.clone(), self.join_params.store.clone(), self.renewals_in_flight.clone());
         let number = self.number;
         self.start_task("a renewal", async move {
             let event = match store.renew(number).await {
                 Ok(Some(_)) => Event::Renewed(now),
-                Ok(None) => Event::Over("the store has let the membership go".to_owned()),
-                Err(e) => Event::Away(e.to_string()),
+                Ok(None) => Event::Terminated("the store has let the membership go".to_owned()),
+                Err(e) => Event::StoreUnavailable(e.to_string()),
             };
             renewals_in_flight.fetch_sub(1, Ordering::Relaxed);
             let _ = events.send(event).await;
         });
     }
 
-    /// Executes a step; its last event is [`Event::Done`], or [`Event::Over`] if the incarnation has to end.
-    pub fn carry_out(&mut self, step: Step) {
-        let (events, writer, joining) = (self.events.clone(), self.writer.clone(), self.joining.clone());
+    /// Executes a step; its last event is [`Event::StepDone`], or [`Event::Terminated`] if the incarnation has to end.
+    pub fn execute(&mut self, step: Step) {
+        let (events, writer, join_params) =
+            (self.events.clone(), self.writer.clone(), self.join_params.clone());
         self.start_task("a step", async move {
             let result = match step {
-                Step::TakeOver { slices, gone } => take(&slices, &gone, &writer, &joining, &events).await,
-                Step::Serve { slices } => read_records(slices, From::Given, &joining, &events).await,
+                Step::TakeOver { slices, gone } => take(&slices, &gone, &writer, &join_params, &events).await,
+                Step::Serve { slices } => {
+                    read_records(slices, Origin::HandedOver, &join_params, &events).await
+                }
                 Step::HandOver { slices, to } => hand_over(slices, to, &writer, &events).await,
                 Step::Left | Step::Lost => Ok(()),
             };
             let event = match result {
-                Ok(()) | Err(WriteError::ConditionFailed) => Event::Done,
-                Err(WriteError::Fatal(why)) => Event::Over(why),
+                Ok(()) | Err(WriteError::ConditionFailed) => Event::StepDone,
+                Err(WriteError::Fatal(why)) => Event::Terminated(why),
             };
             let _ = events.send(event).await;
         });
     }
 
     /// Announces in the store that this steward is leaving.
-    pub fn say_leaving(&mut self) {
+    pub fn announce_leaving(&mut self) {
         self.member.leaving = true;
         self.membership_status.send_modify(|membership_status| membership_status.leaving = true);
         self.write_member();
     }
 
     /// Announces in the store whether this steward is to be assigned slices.
-    pub fn say_resting(&mut self, resting: bool) {
+    pub fn announce_resting(&mut self, resting: bool) {
         self.member.resting = resting;
         self.write_member();
     }
@@ -341,7 +352,7 @@
         let member = self.member.clone();
         self.start_task("a word to the store", async move {
             if let Err(WriteError::Fatal(why)) = writer.lock().await.write_member(&member).await {
-                let _ = events.send(Event::Over(why)).await;
+                let _ = events.send(Event::Terminated(why)).await;
             }
         });
     }
@@ -349,7 +360,7 @@
     /// Ends the membership at the store. For a steward that has no slices and publishes nothing any more.
     pub async fn end(self) {
         // Best effort: the lease expires by itself.
-        let _ = self.joining.store.revoke(self.number).await;
+        let _ = self.join_params.store.revoke(self.number).await;
     }
 }
 
@@ -362,7 +373,7 @@
     slices: &[(usize, u64)],
     gone: &[u64],
     writer: &Mutex<MemberWriter>,
-    joining: &Joining,
+    join_params: &JoinParams,
     events: &mpsc::Sender<Event>,
 ) -> Result<(), WriteError> {
     let chunk_len = MemberWriter::MAX_SLICES.saturating_sub(gone.len()).max(1);
@@ -374,8 +385,13 @@
             // Fails if another steward was quicker; the next poll shows what is left.
             let term = writer.lock().await.take(slices, gone).await?;
             let slices = slices.iter().map(|&(slice, _)| (slice, term)).collect();
-            read_records(slices, if never_assigned { From::Nobody } else { From::Gone }, joining, events)
-                .await?;
+            read_records(
+                slices,
+                if never_assigned { Origin::Unassigned } else { Origin::Expired },
+                join_params,
+                events,
+            )
+            .await?;
         }
     }
     Ok(())
@@ -384,14 +400,14 @@
 /// Reads the record of slices that were assigned to this steward, which no other can write any more.
 async fn read_records(
     slices: Vec<(usize, u64)>,
-    from: From,
-    joining: &Joining,
+    origin: Origin,
+    join_params: &JoinParams,
     events: &mpsc::Sender<Event>,
 ) -> Result<(), WriteError> {
     let (Some(&(first, _)), Some(&(last, _))) = (slices.first(), slices.last()) else { return Ok(()) };
-    let mut rows = record(&*joining.store, &joining.keys, first, last).await?;
+    let mut rows = read_slices(&*join_params.store, &join_params.keys, first, last).await?;
     rows.retain(|row| slices.binary_search_by_key(&(row.slice as usize), |&(slice, _)| slice).is_ok());
-    let _ = events.send(Event::Serves { slices, rows, from }).await;
+    let _ = events.send(Event::Assigned { slices, rows, origin }).await;
     Ok(())
 }
 
@@ -404,7 +420,7 @@
 ) -> Result<(), WriteError> {
     for slices in slices.chunks(MemberWriter::MAX_SLICES) {
         let term = writer.lock().await.hand_over(slices, to).await?;
-        let _ = events.send(Event::Gave { slices: slices.to_vec(), to, term }).await;
+        let _ = events.send(Event::HandedOver { slices: slices.to_vec(), to, term }).await;
     }
     Ok(())
 }
--- a/crates/ravenspar/src/shared/store.rs
+++ b/crates/ravenspar/src/shared/store.rs
@@ -16,13 +16,13 @@
     pub revision: u64,
     pub members: Vec<(Incarnation, Member)>,
     /// Assignments that changed since the requested revision: slice, steward, term.
-    pub charges: Vec<(usize, Incarnation, u64)>,
+    pub assignments: Vec<(usize, Incarnation, u64)>,
     /// Duties with their leaders and terms; see [`with_duties`].
     pub duties: Vec<(String, Incarnation, u64)>,
     /// Number of sites with a live lease; see [`with_duties`].
     pub sites: usize,
     /// Keys whose entries can't be decoded.
-    pub unread: Vec<String>,
+    pub undecodable: Vec<String>,
 }
 
 /// Reads all members and the assignments that changed since a revision, at one revision.
@@ -36,13 +36,13 @@
     for row in next() {
         match (Keys::incarnation(&row.key), serde_json::from_slice(&row.value)) {
             (Some(incarnation), Ok(member)) => snapshot.members.push((incarnation, member)),
-            _ => snapshot.unread.push(shown(&row)),
+            _ => snapshot.undecodable.push(shown(&row)),
         }
     }
     for row in next() {
         match (Keys::number(&row.key), decode_incarnation(&row.value)) {
-            (Some(slice), Some(incarnation)) => snapshot.charges.push((slice, incarnation, row.modified)),
-            _ => snapshot.unread.push(shown(&row)),
+            (Some(slice), Some(incarnation)) => snapshot.assignments.push((slice, incarnation, row.modified)),
+            _ => snapshot.undecodable.push(shown(&row)),
         }
     }
     Ok(snapshot)
@@ -50,7 +50,7 @@
 
 /// Reads the record of the slices from `first` to `last`, by pages at one revision. Slices without a record are left
 /// out.
-pub async fn record(
+pub async fn read_slices(
     store: &dyn Store,
     keys: &Keys,
     first: usize,
@@ -140,7 +140,7 @@
 
 /// Returns an error message if a snapshot can't follow on the last seen cluster and revision, as it is of another
 /// store or of an older state.
-pub fn backward(snapshot: &Snapshot, seen: Option<(u64, u64)>) -> Option<String> {
+pub fn history_error(snapshot: &Snapshot, seen: Option<(u64, u64)>) -> Option<String> {
     let (cluster, revision) = seen?;
     let found = (snapshot.cluster, snapshot.revision as i64);
     let error = ravenspar_list::check_continuity((cluster, revision as i64), found).err()?;
--- a/crates/ravenspar/src/shared/tests.rs
+++ b/crates/ravenspar/src/shared/tests.rs
@@ -29,7 +29,7 @@
 /// Returns the steward that the first slice is assigned to.
 async fn assigned_steward(store: &SharedStore) -> Option<Incarnation> {
     let snapshot = snapshot(&**store, &Keys::new("/fleet/"), 0).await.expect("the store answers");
-    snapshot.charges.iter().find(|(slice, ..)| *slice == 0).map(|(_, incarnation, _)| *incarnation)
+    snapshot.assignments.iter().find(|(slice, ..)| *slice == 0).map(|(_, incarnation, _)| *incarnation)
 }
 
 fn row(term: u64) -> SliceRow {
--- a/crates/ravenspar/src/sharing.rs
+++ b/crates/ravenspar/src/sharing.rs
@@ -8,7 +8,7 @@
 
 use crate::failpoint::{Failpoint, Point};
 use crate::recorder::RecordUpdate;
-use crate::shared::{backward, Event, From, EARLY};
+use crate::shared::{history_error, Event, Origin, EARLY_EXPIRY_GRACE};
 use crate::state::{Core, End};
 
 /// How long a leaving steward waits for its duties to be handed over: the time of some calls to the store.
@@ -25,7 +25,7 @@
         };
         tracing::info!(slices = shared.incarnation.fleet.count(), "leaving");
         shared.incarnation.fleet.leave(now);
-        shared.incarnation.say_leaving();
+        shared.incarnation.announce_leaving();
         self.send_hint(kind::STORE_CHANGED, u64::MAX);
         false
     }
@@ -37,10 +37,10 @@
         let fleet = &mut shared.incarnation.fleet;
         match event {
             Event::Snapshot(snapshot) => {
-                if let Some(why) = backward(&snapshot, shared.seen) {
+                if let Some(why) = history_error(&snapshot, shared.seen) {
                     return Some(why);
                 }
-                for key in &snapshot.unread {
+                for key in &snapshot.undecodable {
                     tracing::error!(%key, "a key of the shared store can't be read and is left alone");
                 }
                 if std::mem::take(&mut shared.store_unavailable) {
@@ -48,7 +48,7 @@
                 }
                 shared.seen = Some((snapshot.cluster, snapshot.revision));
                 snapshot
-                    .charges
+                    .assignments
                     .iter()
                     .for_each(|&(slice, incarnation, term)| fleet.set_assignment(slice, incarnation, term));
                 shared.names = snapshot.members.iter().map(|(_, member)| member.name.clone()).collect();
@@ -57,20 +57,20 @@
                 let members = excluded_members(&members.collect::<Vec<_>>());
                 fleet.members(&members);
                 if members.len() < std::mem::replace(&mut shared.members, members.len()) {
-                    shared.incarnation.look_as_usual();
+                    shared.incarnation.poll_normally();
                 }
             }
-            Event::Away(why) => {
+            Event::StoreUnavailable(why) => {
                 if !std::mem::replace(&mut shared.store_unavailable, true) {
                     tracing::warn!(%why, "the store does not answer");
                 }
             }
             Event::Renewed(sent) => shared.incarnation.renewed(sent),
-            Event::Serves { slices, mut rows, from } => {
-                let echoed_until = match from {
-                    From::Nobody => None,
-                    From::Given => Some(now),
-                    From::Gone => Some(now + EARLY),
+            Event::Assigned { slices, mut rows, origin } => {
+                let echoed_until = match origin {
+                    Origin::Unassigned => None,
+                    Origin::HandedOver => Some(now),
+                    Origin::Expired => Some(now + EARLY_EXPIRY_GRACE),
                 };
                 fleet.served(&slices);
                 rows.sort_by_key(|row| row.slice);
@@ -85,16 +85,16 @@
                 });
                 shared.new_assignments.add(now, assigned);
             }
-            Event::Gave { slices, to, term } => {
+            Event::HandedOver { slices, to, term } => {
                 tracing::info!(slices = slices.len(), to = %format_args!("{to:016x}"), term, "gave slices");
                 fleet.handed_over(&slices, to, term);
                 self.send_hint(kind::STORE_CHANGED, term);
             }
-            Event::Done => {
+            Event::StepDone => {
                 shared.new_assignments.complete();
                 fleet.done();
             }
-            Event::Over(why) => return Some(why),
+            Event::Terminated(why) => return Some(why),
         }
         None
     }
@@ -117,7 +117,7 @@
         let went: Vec<String> = went.filter(|name| !names_match || in_store(name)).collect();
         if let Some(shared) = self.shared.as_ref().filter(|_| !went.is_empty()) {
             tracing::debug!(?went, "members have gone from the view, the store is polled more often");
-            shared.incarnation.look_often(self.clock.now());
+            shared.incarnation.poll_often(self.clock.now());
         }
     }
 
@@ -137,7 +137,7 @@
         let resting = shared.useful.look(now, own, others) || slow;
         if resting != std::mem::replace(&mut shared.resting, resting) {
             tracing::warn!(resting, own, ?others, slow, "forwarders reached here and by the others");
-            shared.incarnation.say_resting(resting);
+            shared.incarnation.announce_resting(resting);
         }
     }
 
@@ -198,7 +198,7 @@
             if ticket > shared.incarnation.recorder.durable() {
                 shared.pending_step = Some((ticket, step));
             } else {
-                shared.incarnation.carry_out(step);
+                shared.incarnation.execute(step);
             }
         }
         if !shared.new_assignments.is_empty() && now < shared.incarnation.fleet.gives_up_at() {
@@ -208,7 +208,7 @@
         match shared.incarnation.fleet.next(now, |slice| host.is_at_rest(slice))? {
             // The hand-over of a duty gets limited time; a duty that can't be handed over is free once the membership ends.
             Step::Left
-                if !shared.incarnation.is_free()
+                if !shared.incarnation.has_no_duty()
                     && now
                         < shared
                             .unassigned_since
@@ -238,7 +238,7 @@
                 if matches!(step, Step::TakeOver { .. }) {
                     Failpoint::hit(&mut self.process.failpoint, Point::Take);
                 }
-                shared.incarnation.carry_out(step);
+                shared.incarnation.execute(step);
                 None
             }
         }
--- a/crates/ravenspar/src/state.rs
+++ b/crates/ravenspar/src/state.rs
@@ -14,7 +14,7 @@
 use crate::assignment_batch::AssignmentBatch;
 use crate::process::ProcessContext;
 use crate::recorder::Recorder;
-use crate::shared::Life;
+use crate::shared::MemberSession;
 use crate::streams::{self, Stream, StreamEvent};
 
 /// How the core's loop ended, other than by an error.
@@ -87,7 +87,7 @@
 
 /// The state of a steward that shares the slices with others.
 pub struct Shared {
-    pub incarnation: Life,
+    pub incarnation: MemberSession,
     /// Cluster and revision of the store at the last snapshot.
     pub seen: Option<(u64, u64)>,
     /// When `seen` was last handed to the steward's own record.
@@ -109,7 +109,7 @@
 }
 
 impl Shared {
-    pub fn new(incarnation: Life, seen: Option<(u64, u64)>) -> Shared {
+    pub fn new(incarnation: MemberSession, seen: Option<(u64, u64)>) -> Shared {
         Shared {
             incarnation,
             seen,
--- a/crates/ravenspar/src/work/mod.rs
+++ b/crates/ravenspar/src/work/mod.rs
@@ -169,7 +169,7 @@
     }
 
     /// Returns true if this incarnation leads no duty.
-    pub fn is_free(&self) -> bool {
+    pub fn has_no_duty(&self) -> bool {
         *self.duty_count.borrow() == 0
     }
 }
