--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -10,9 +10,7 @@
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use ravenspar::print_line;
-use ravenspar_protocol::{
-    codec, kind, tag, Body, Fault as DecodeError, Frame, MAX_BODY_FROM_STEWARD, VERSION,
-};
+use ravenspar_protocol::{codec, kind, tag, Body, DecodeError, Frame, MAX_BODY_FROM_STEWARD, VERSION};
 use ravenspar_record::{Record, SliceRow};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::TcpStream;
--- a/crates/lab/src/measure_sharing.rs
+++ b/crates/lab/src/measure_sharing.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use ravenspar::print_line;
-use ravenspar_protocol::{kind, tag, Body, Fault as DecodeError, Frame};
+use ravenspar_protocol::{kind, tag, Body, DecodeError, Frame};
 use ravenspar_standin::store::Store;
 use tokio::task::spawn_local;
 
--- a/crates/ravenspar/src/core.rs
+++ b/crates/ravenspar/src/core.rs
@@ -18,7 +18,7 @@
 /// Waits for the next event of the incarnation; forever if the steward doesn't share.
 async fn next_sharing_event(shared: &mut Option<Shared>) -> Event {
     match shared {
-        Some(shared) => shared.incarnation.next().await,
+        Some(shared) => shared.session.next().await,
         None => std::future::pending().await,
     }
 }
@@ -144,14 +144,11 @@
     fn next_wakeup(&self, now: Time) -> Time {
         let host = self.host.next_timeout(now);
         let Some(shared) = &self.shared else { return host };
-        let membership = shared.incarnation.membership.renew_at().min(shared.incarnation.membership.until());
+        let membership = shared.session.membership.renew_at().min(shared.session.membership.until());
         let step = if shared.new_assignments.is_empty() {
-            shared.incarnation.fleet.next_at()
+            shared.session.fleet.next_at()
         } else {
-            shared
-                .new_assignments
-                .ready_at(self.host.spare_lines())
-                .min(shared.incarnation.fleet.gives_up_at())
+            shared.new_assignments.ready_at(self.host.spare_lines()).min(shared.session.fleet.gives_up_at())
         };
         host.min(membership).min(step)
     }
@@ -222,7 +219,7 @@
         loop {
             let now = self.clock.now();
             // Checked before each output: the process may be paused between any two.
-            if self.shared.as_ref().is_some_and(|shared| !shared.incarnation.membership.holds(now)) {
+            if self.shared.as_ref().is_some_and(|shared| !shared.session.membership.holds(now)) {
                 return Some("the membership could not be renewed in time".to_owned());
             }
             let output = self.host.poll(now)?;
--- a/crates/ravenspar/src/lib.rs
+++ b/crates/ravenspar/src/lib.rs
@@ -22,9 +22,6 @@
 mod supervisor;
 mod work;
 
-use failpoint as halt;
-use supervisor as watched;
-
 pub use fleet::{query as query_fleet, Answer};
 
 /// Prints a line on standard output. Write errors are ignored: a closed pipe is no reason to stop.
--- a/crates/ravenspar/src/serve.rs
+++ b/crates/ravenspar/src/serve.rs
@@ -196,19 +196,19 @@
             joined = join(&join_params, number, &address, seen, failpoint.filter(|_| failures == 0)) => joined,
         };
         let why = match joined {
-            Ok((incarnation, snapshot)) => {
+            Ok((session, snapshot)) => {
                 seen = Some((snapshot.cluster, snapshot.revision));
                 failures = 0;
-                let term = incarnation.term;
+                let term = session.term;
                 let last = last_seen(&process.last_list);
                 let host = Host::without_slices(process.clock.now(), cfg.seed, cfg.map.clone(), term, &last);
                 let host = host.map_err(unusable)?;
                 tracing::info!(%address, life = %format_args!("{number:016x}"), term, servers = last.len(), "a member");
-                let mut core = Core::new(process, host, Some(Shared::new(incarnation, seen)));
+                let mut core = Core::new(process, host, Some(Shared::new(session, seen)));
                 let end = core.run().await?;
                 seen = core.shared.as_ref().map_or(seen, |shared| shared.seen);
                 let shared = core.shared.take();
-                let leaving = shared.as_ref().is_some_and(|shared| shared.incarnation.fleet.is_leaving());
+                let leaving = shared.as_ref().is_some_and(|shared| shared.session.fleet.is_leaving());
                 drop(core);
                 if let Some((cluster, revision)) = seen {
                     process.embedded.write(RecordUpdate::Seen(cluster, revision));
@@ -216,8 +216,7 @@
                 if let Some(shared) = shared {
                     // Nothing is sent any more, so that the other stewards need not wait for the lease to expire. A store
                     // that doesn't answer is not waited for.
-                    let _ =
-                        tokio::time::timeout(join_params.share.call_within, shared.incarnation.end()).await;
+                    let _ = tokio::time::timeout(join_params.share.call_within, shared.session.end()).await;
                 }
                 match end {
                     End::Stopped => return Ok(()),
@@ -278,7 +277,7 @@
     let snapshot = crate::shared::snapshot(&*join_params.store, &join_params.keys, 0).await;
     let snapshot = snapshot.map_err(|error| JoinError::Failed(error.to_string()))?;
     history_error(&snapshot, seen).map_or(Ok(()), |why| Err(JoinError::StoreMismatch(why)))?;
-    let incarnation =
+    let session =
         MemberSession::join(join_params, number, address, failpoint).await.map_err(JoinError::Failed)?;
-    Ok((incarnation, snapshot))
+    Ok((session, snapshot))
 }
--- a/crates/ravenspar/src/shared/session.rs
+++ b/crates/ravenspar/src/shared/session.rs
@@ -271,7 +271,7 @@
     }
 
     /// Triggers a poll without waiting for the interval.
-    pub fn look(&self) {
+    pub fn poll_now(&self) {
         self.poll_trigger.notify_one();
     }
 
@@ -282,7 +282,7 @@
             now + Time::from(self.join_params.share.member_lease) * SECOND + SECOND,
             Ordering::Relaxed,
         );
-        self.look();
+        self.poll_now();
     }
 
     /// Returns to the normal interval, as the store has ended a membership.
--- a/crates/ravenspar/src/sharing.rs
+++ b/crates/ravenspar/src/sharing.rs
@@ -19,13 +19,12 @@
     /// slices first.
     pub fn begin_shutdown(&mut self) -> bool {
         let now = self.clock.now();
-        let Some(shared) = self.shared.as_mut().filter(|shared| !shared.incarnation.fleet.is_leaving())
-        else {
+        let Some(shared) = self.shared.as_mut().filter(|shared| !shared.session.fleet.is_leaving()) else {
             return true;
         };
-        tracing::info!(slices = shared.incarnation.fleet.count(), "leaving");
-        shared.incarnation.fleet.leave(now);
-        shared.incarnation.announce_leaving();
+        tracing::info!(slices = shared.session.fleet.count(), "leaving");
+        shared.session.fleet.leave(now);
+        shared.session.announce_leaving();
         self.send_hint(kind::STORE_CHANGED, u64::MAX);
         false
     }
@@ -34,7 +33,7 @@
     pub fn handle_sharing_event(&mut self, event: Event) -> Option<String> {
         let now = self.clock.now();
         let shared = self.shared.as_mut()?;
-        let fleet = &mut shared.incarnation.fleet;
+        let fleet = &mut shared.session.fleet;
         match event {
             Event::Snapshot(snapshot) => {
                 if let Some(why) = history_error(&snapshot, shared.seen) {
@@ -57,7 +56,7 @@
                 let members = excluded_members(&members.collect::<Vec<_>>());
                 fleet.members(&members);
                 if members.len() < std::mem::replace(&mut shared.members, members.len()) {
-                    shared.incarnation.poll_normally();
+                    shared.session.poll_normally();
                 }
             }
             Event::StoreUnavailable(why) => {
@@ -65,7 +64,7 @@
                     tracing::warn!(%why, "the store does not answer");
                 }
             }
-            Event::Renewed(sent) => shared.incarnation.renewed(sent),
+            Event::Renewed(sent) => shared.session.renewed(sent),
             Event::Assigned { slices, mut rows, origin } => {
                 let echoed_until = match origin {
                     Origin::Unassigned => None,
@@ -117,7 +116,7 @@
         let went: Vec<String> = went.filter(|name| !names_match || in_store(name)).collect();
         if let Some(shared) = self.shared.as_ref().filter(|_| !went.is_empty()) {
             tracing::debug!(?went, "members have gone from the view, the store is polled more often");
-            shared.incarnation.poll_often(self.clock.now());
+            shared.session.poll_often(self.clock.now());
         }
     }
 
@@ -137,7 +136,7 @@
         let resting = shared.useful.look(now, own, others) || slow;
         if resting != std::mem::replace(&mut shared.resting, resting) {
             tracing::warn!(resting, own, ?others, slow, "forwarders reached here and by the others");
-            shared.incarnation.announce_resting(resting);
+            shared.session.announce_resting(resting);
         }
     }
 
@@ -161,7 +160,7 @@
         match kind {
             // A revision that was seen already needs no poll.
             kind::STORE_CHANGED if shared.seen.is_none_or(|(_, seen)| seen < number) => {
-                shared.incarnation.look()
+                shared.session.poll_now()
             }
             kind::SERVER_LIST_CHANGED => self.process.refresh_list.notify_one(),
             _ => {}
@@ -173,11 +172,11 @@
     pub fn advance_sharing(&mut self) -> Option<End> {
         let now = self.clock.now();
         let shared = self.shared.as_mut()?;
-        if !shared.incarnation.membership.holds(now) {
+        if !shared.session.membership.holds(now) {
             return Some(End::MembershipEnded("the membership could not be renewed in time".to_owned()));
         }
-        if now >= shared.incarnation.membership.renew_at() {
-            shared.incarnation.renew(now);
+        if now >= shared.session.membership.renew_at() {
+            shared.session.renew(now);
             Failpoint::hit(&mut self.process.failpoint, Point::Renew);
         }
         if now >= shared.seen_recorded_at + 10 * SECOND {
@@ -195,20 +194,20 @@
             self.host.assign(now, &assigned);
         }
         if let Some((ticket, step)) = shared.pending_step.take() {
-            if ticket > shared.incarnation.recorder.durable() {
+            if ticket > shared.session.recorder.durable() {
                 shared.pending_step = Some((ticket, step));
             } else {
-                shared.incarnation.execute(step);
+                shared.session.execute(step);
             }
         }
-        if !shared.new_assignments.is_empty() && now < shared.incarnation.fleet.gives_up_at() {
+        if !shared.new_assignments.is_empty() && now < shared.session.fleet.gives_up_at() {
             return None;
         }
         let host = &self.host;
-        match shared.incarnation.fleet.next(now, |slice| host.is_at_rest(slice))? {
+        match shared.session.fleet.next(now, |slice| host.is_at_rest(slice))? {
             // The hand-over of a duty gets limited time; a duty that can't be handed over is free once the membership ends.
             Step::Left
-                if !shared.incarnation.has_no_duty()
+                if !shared.session.has_no_duty()
                     && now
                         < shared
                             .unassigned_since
@@ -219,7 +218,7 @@
             }
             Step::Left => {
                 tracing::info!(
-                    slices = shared.incarnation.fleet.count(),
+                    slices = shared.session.fleet.count(),
                     "left; what it still has is taken over"
                 );
                 Some(End::Stopped)
@@ -238,7 +237,7 @@
                 if matches!(step, Step::TakeOver { .. }) {
                     Failpoint::hit(&mut self.process.failpoint, Point::Take);
                 }
-                shared.incarnation.execute(step);
+                shared.session.execute(step);
                 None
             }
         }
--- a/crates/ravenspar/src/state.rs
+++ b/crates/ravenspar/src/state.rs
@@ -65,8 +65,7 @@
     pub fn new(process: &'a mut ProcessContext, host: Host, shared: Option<Shared>) -> Core<'a> {
         let (stream_events_tx, stream_events) = mpsc::channel(streams::EVENT_QUEUE_CAPACITY);
         let clock = process.clock;
-        let recorder =
-            shared.as_ref().map_or(&process.embedded, |shared| &shared.incarnation.recorder).clone();
+        let recorder = shared.as_ref().map_or(&process.embedded, |shared| &shared.session.recorder).clone();
         Core {
             process,
             clock,
@@ -87,7 +86,7 @@
 
 /// The state of a steward that shares the slices with others.
 pub struct Shared {
-    pub incarnation: MemberSession,
+    pub session: MemberSession,
     /// Cluster and revision of the store at the last snapshot.
     pub seen: Option<(u64, u64)>,
     /// When `seen` was last handed to the steward's own record.
@@ -109,9 +108,9 @@
 }
 
 impl Shared {
-    pub fn new(incarnation: MemberSession, seen: Option<(u64, u64)>) -> Shared {
+    pub fn new(session: MemberSession, seen: Option<(u64, u64)>) -> Shared {
         Shared {
-            incarnation,
+            session,
             seen,
             seen_recorded_at: 0,
             pending_step: None,
--- a/crates/ravenspar/src/work/agents.rs
+++ b/crates/ravenspar/src/work/agents.rs
@@ -92,7 +92,7 @@
                 }
                 Action::Renew { stream, incarnation, sent } => self.spawn_call(move |store, _| async move {
                     let held = store.renew(incarnation).await.ok().map(|seconds| seconds.is_some());
-                    Some(Event::Renewed { stream, incarnation: incarnation, sent, held })
+                    Some(Event::Renewed { stream, incarnation, sent, held })
                 }),
                 Action::Kept { stream, incarnation, sent } => {
                     let lease = u64::from(seconds) * SECOND as u64;
@@ -104,7 +104,7 @@
                     let _ = self.agent_requests.try_send(AgentRequest::ReadSpec {
                         stream,
                         term,
-                        incarnation: incarnation,
+                        incarnation,
                         job,
                         token,
                     });
@@ -139,7 +139,7 @@
     seconds: u32,
     steward: Incarnation,
 ) -> Option<Event> {
-    let Hello { incarnation: incarnation, boot, room, name } = site;
+    let Hello { incarnation, boot, room, name } = site;
     // Refused if the lease exists already.
     let _ = store.grant(incarnation, seconds).await;
     // The witness is bound to the site's lease, as a site's key doesn't depend on a steward's membership.
--- a/crates/ravenspar/src/work/duties.rs
+++ b/crates/ravenspar/src/work/duties.rs
@@ -25,7 +25,7 @@
             let incarnation = Keys::incarnation(&row.key)?;
             let member: crate::shared::Member = serde_json::from_slice(&row.value).ok()?;
             let poor = self.peer_reachability.get(&incarnation).is_some_and(|reachability| reachability.poor);
-            Some(Member { incarnation: incarnation, leaving: member.leaving, poor })
+            Some(Member { incarnation, leaving: member.leaving, poor })
         });
         let members = members.collect();
         let mut claims: Vec<Option<Claim>> = vec![None; DUTIES.len()];
--- a/crates/ravenspar/src/work/frames.rs
+++ b/crates/ravenspar/src/work/frames.rs
@@ -53,8 +53,7 @@
                 incarnation = field.number()?;
                 if kind == kind::SITE {
                     let (boot, room) = (field.number()?, field.index()?);
-                    hello =
-                        Some(Hello { incarnation: incarnation, boot, room, name: field.text()?.to_owned() });
+                    hello = Some(Hello { incarnation, boot, room, name: field.text()?.to_owned() });
                 }
             }
             tag::BEFORE => before.push(field.number()?),
--- a/crates/ravenspar/src/work/rows.rs
+++ b/crates/ravenspar/src/work/rows.rs
@@ -48,7 +48,7 @@
 pub fn site(row: &Row) -> Option<Site> {
     let incarnation = Keys::incarnation(&row.key)?;
     let SiteRecord { name, room, .. } = serde_json::from_slice(&row.value).ok()?;
-    Some(Site { incarnation: incarnation, name, room })
+    Some(Site { incarnation, name, room })
 }
 
 /// Decodes a steward's report of itself.
--- a/crates/standin/src/agent.rs
+++ b/crates/standin/src/agent.rs
@@ -94,7 +94,7 @@
     /// The life is over, by the clock or by a steward's word.
     pub fn next_incarnation(&mut self) {
         let next = Core::life(&mut self.chance);
-        self.before.push(self.holder.life());
+        self.before.push(self.holder.incarnation());
         // Some are enough: older ones have run out at the store.
         if self.before.len() > 4 {
             self.before.remove(0);
