--- a/crates/standin/src/agent.rs
+++ b/crates/standin/src/agent.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a site's agent: it holds jobs by leases that any steward renews, runs their steps where effects land, and
-//! delivers their outcomes. What it may not forget is on its disk.
+//! A stand-in for a site's agent. It holds jobs under leases that any steward renews, runs their steps against the effects
+//! service and delivers their outcomes. State that must survive a restart is on its disk.
 
 mod disk;
 mod runs;
@@ -17,32 +17,34 @@
 
 pub use runs::Spec;
 
+/// How an agent runs, and the faults it has.
 #[derive(Clone, Debug)]
 pub struct Options {
     pub name: String,
-    /// Where each steward takes agents.
+    /// The address on which each steward accepts agents.
     pub stewards: Vec<SocketAddr>,
+    /// The address of the effects service.
     pub effects: SocketAddr,
-    /// Its folder: terms, lives and outcomes.
+    /// Folder for terms, incarnations and outcomes.
     pub dir: PathBuf,
-    /// Jobs at a time.
+    /// Maximum number of concurrent jobs.
     pub room: usize,
-    /// Of its lives at the store.
+    /// Duration of the store's lease on each of its incarnations.
     pub lease: Time,
     pub seed: u64,
-    /// It works on whatever becomes of its lease.
+    /// Fault: it continues to work after its lease has expired.
     pub ignores_lease: bool,
-    /// It keeps no outcome on disk, and says each but once.
+    /// Fault: it keeps no outcome on disk and sends each only once.
     pub forgets: bool,
-    /// It says what it used to every steward, again and again.
+    /// Fault: it reports its usage to every steward, repeatedly.
     pub doubles: bool,
-    /// It stops itself at its nth call, its lease looked at and the call not sent.
+    /// Fault: it stops its process at the nth call, after the lease check and before the call is sent.
     pub pause_at: Option<u64>,
-    /// It says it used so many times as much.
+    /// Factor by which it multiplies the usage that it reports.
     pub lies: u64,
 }
 
-/// Taken off a life by the agent itself: what a step takes to be called off or to land.
+/// Subtracted from each lease by the agent: the time that a step takes to be cancelled or to take effect.
 const MARGIN: Time = SECOND / 4;
 
 pub(crate) struct Core {
@@ -51,26 +53,25 @@
     pub chance: fastrand::Rng,
     pub holder: Holder,
     pub disk: disk::Disk,
-    /// Calls to where effects land.
+    /// Number of calls to the effects service.
     pub calls: u64,
-    /// The steward through which it renews.
+    /// Index of the steward through which it renews its lease.
     pub current: usize,
-    /// Whether this life has been renewed once.
+    /// True once the lease of this incarnation has been renewed.
     pub alive: bool,
-    /// When this life was drawn.
+    /// When this incarnation began.
     pub began: Time,
-    /// When the last renewal was answered, or the life began.
+    /// When the last renewal was acknowledged or, failing that, when the incarnation began.
     pub heard: Time,
-    /// Lives of this site that are over for good.
+    /// Earlier incarnations of this site, whose leases have ended.
     pub before: Vec<u64>,
-    /// What each run has used, in tenths of a millisecond, by token and job, and whether that is all; kept until a steward
-    /// has counted it.
+    /// Usage of each run by token and job, and whether it is final. Kept until a steward acknowledges it.
     pub used: std::collections::BTreeMap<(u64, String), (Time, bool)>,
 }
 
 pub(crate) struct Agent {
     pub core: RefCell<Core>,
-    /// Something is to be said: an outcome, another life.
+    /// Notified when there is something to send: an outcome or a new incarnation.
     pub news: Notify,
 }
 
@@ -79,10 +80,11 @@
         chance.u64(1..=i64::MAX as u64)
     }
 
-    /// Ends this life where its time is over, and begins another.
+    /// Starts a new incarnation if this one's lease has expired; returns true if it did.
     pub fn look(&mut self) -> bool {
         let now = self.clock.now();
-        // One that nobody has said to be held for a whole lease may have been, and be over: it is not used again.
+        // An incarnation without an acknowledged renewal may have had its lease granted and expired: after a whole lease
+        // it isn't used again.
         let over =
             if self.alive { !self.holder.may_work(now) } else { now >= self.began + self.options.lease };
         if over && !self.options.ignores_lease {
@@ -91,22 +93,22 @@
         over && !self.options.ignores_lease
     }
 
-    /// The life is over, by the clock or by a steward's word.
+    /// Starts a new incarnation, as the lease has expired by the clock or a steward has reported it over.
     pub fn over(&mut self) {
         let next = Core::life(&mut self.chance);
         self.before.push(self.holder.life());
-        // Some are enough: older ones have run out at the store.
+        // The leases of older ones have expired at the store.
         if self.before.len() > 4 {
             self.before.remove(0);
         }
         self.disk.life(next);
-        // Its runs see that they hold nothing any more, and end.
+        // Its runs notice that they no longer hold their jobs, and end.
         self.holder.over(next, self.options.lease, MARGIN);
         (self.alive, self.began, self.heard) = (false, self.clock.now(), self.clock.now());
     }
 }
 
-/// Runs until the process ends.
+/// Runs an agent until the process ends.
 pub async fn run(options: Options) -> std::io::Result<()> {
     let clock = Clock::default();
     let mut chance =
@@ -138,7 +140,7 @@
     for (number, address) in stewards.into_iter().enumerate() {
         tokio::task::spawn_local(streams::follow(agent.clone(), number, address));
     }
-    // Looks at its own clock far more often than its margin.
+    // Checks its clock at intervals far below `MARGIN`.
     let mut look = tokio::time::interval(std::time::Duration::from_millis(20));
     loop {
         look.tick().await;
--- a/crates/standin/src/agent/disk.rs
+++ b/crates/standin/src/agent/disk.rs
@@ -1,4 +1,4 @@
-//! What an agent may not forget, a line each, written through before anything is done by it.
+//! An agent's durable state: a log of JSON lines, each synced before the agent acts on it.
 
 use std::collections::BTreeMap;
 use std::fs::{File, OpenOptions};
@@ -15,15 +15,15 @@
 enum Line {
     Term(u64),
     Life(u64),
-    /// Job, token, why it failed (none: it is done), whether it was stopped.
+    /// Job, token, why it failed (`None` if it didn't), whether it was stopped.
     Outcome(String, u64, Option<String>, bool),
     Delivered(String, u64),
-    /// Token, what it used in all, the job.
+    /// Token, total usage, job.
     Used(u64, Time, String),
     Counted(u64, String),
 }
 
-/// What was on it.
+/// The state recovered from the log.
 #[derive(Default)]
 pub struct Kept {
     pub term: u64,
@@ -32,6 +32,7 @@
     pub used: BTreeMap<(u64, String), (Time, bool)>,
 }
 
+/// The log of an agent, open for appending.
 pub struct Disk {
     file: File,
     forgets: bool,
@@ -45,7 +46,7 @@
         let mut outcomes = BTreeMap::new();
         if path.exists() {
             for line in BufReader::new(File::open(&path)?).lines() {
-                // A line that was being written as the process died promises nothing.
+                // A torn last line was never synced, so nothing was done by it.
                 let Ok(line) = serde_json::from_str(&line?) else { continue };
                 match line {
                     Line::Term(term) => kept.term = kept.term.max(term),
@@ -74,7 +75,7 @@
     fn write(&mut self, line: &Line) {
         let mut bytes = serde_json::to_vec(line).unwrap_or_default();
         bytes.push(b'\n');
-        // An agent that can't keep what it promised is worth nothing.
+        // The agent must not continue without durable state.
         if self.file.write_all(&bytes).and_then(|()| self.file.sync_data()).is_err() {
             std::process::abort();
         }
--- a/crates/standin/src/agent/runs.rs
+++ b/crates/standin/src/agent/runs.rs
@@ -1,4 +1,4 @@
-//! A job's run at its site: its steps, each looked at the lease for right before it leaves.
+//! A job's run at its site. The lease is checked right before each step is sent.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use super::Agent;
 use crate::effects::{Answer, Call, MOST};
 
-/// What a job of these days is.
+/// The specification of a job in the lab's days.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Spec {
     pub user: String,
@@ -23,18 +23,18 @@
     pub group: String,
     pub steps: u64,
     pub step_ms: u64,
-    /// It fails at its end, each time.
+    /// Each run fails at its end.
     #[serde(default)]
     pub fails: bool,
-    /// Its agent dies of it, each time.
+    /// Each run crashes its agent.
     #[serde(default)]
     pub poison: bool,
 }
 
 enum Stopped {
-    /// Another holds it, or the lease is over: nothing is to be delivered.
+    /// Another site holds the job or the lease has expired. There is no outcome to deliver.
     NotMine,
-    /// Where effects land does not answer.
+    /// The effects service doesn't answer.
     Away,
 }
 
@@ -60,7 +60,7 @@
             core.holder.keep(&job, token, ended);
         }
         Err(_) => {
-            // Told to stop, or its life is over: it says so where the job was its own to the end.
+            // Stopped by a steward, or the lease is over: the outcome is reported only if the job was still held.
             if core.holder.stop(&job, token) {
                 core.holder.keep(&job, token, Ended::Stopped);
             }
@@ -71,6 +71,7 @@
 }
 
 impl Agent {
+    /// Returns true if the job is held under this token and the lease is valid.
     pub(super) fn holds(&self, job: &str, token: u64) -> bool {
         let core = self.core.borrow();
         if core.options.ignores_lease {
@@ -81,7 +82,7 @@
     }
 }
 
-/// What a run has used so far.
+/// Updates the usage of a run that goes on.
 fn uses(agent: &Agent, job: &str, token: u64, began: crate::Time) {
     let core = &mut *agent.core.borrow_mut();
     let used = (core.clock.now() - began) * core.options.lies as i64;
--- a/crates/standin/src/agent/streams.rs
+++ b/crates/standin/src/agent/streams.rs
@@ -15,17 +15,18 @@
 use super::{runs, Agent, Core};
 use crate::{Time, SECOND};
 
-/// Between two looks at what is to be said: renewals that are due, outcomes that nobody took.
+/// Interval of the checks for messages to send: renewals that are due, outcomes without an acknowledgement.
 const LOOK: Duration = Duration::from_millis(100);
 
-/// Between two pings, by which each steward knows that it reaches this site. One that answers none of some is broken off.
+/// Interval of the pings, by which each steward knows that it reaches this site.
 const PING: Time = SECOND;
+/// A stream on which nothing was received for this long is closed.
 const SILENT: Time = 4 * SECOND;
 
-/// Outcomes and uses said at a time.
+/// Maximum number of outcomes, and of usages, sent at a time.
 const AT_ONCE: usize = 32;
 
-/// Follows a steward for ever.
+/// Keeps a stream to a steward, reconnecting forever.
 pub(super) async fn follow(agent: Rc<Agent>, number: usize, address: SocketAddr) {
     loop {
         let _ = joined(&agent, number, address).await;
@@ -78,7 +79,7 @@
     }
 }
 
-/// What is to be said on this stream now.
+/// Returns the frames that are due on this stream.
 fn say(agent: &Agent, number: usize, life: &mut u64, kept_at: &mut Time) -> Vec<Bytes> {
     let core = &mut *agent.core.borrow_mut();
     let now = core.clock.now();
@@ -92,7 +93,8 @@
         said.push(site.finish());
         *kept_at = 0;
     }
-    // A steward that has not answered for two fifths of a lease is left for one whose stream is there: its own may be gone.
+    // If the current steward hasn't acknowledged a renewal for two fifths of a lease, renew through this one, whose
+    // stream is open.
     if number != core.current && now > core.heard + core.options.lease * 2 / 5 {
         (core.current, core.heard, *kept_at) = (number, now, 0);
     }
@@ -130,13 +132,13 @@
             core.holder.delivered(&job, token);
         }
     }
-    // What has ended is said until it is counted, the rest with each renewal.
+    // Final usage is sent until it is acknowledged, the rest with each renewal.
     let kept = *kept_at == now;
     said.extend(uses(core, kept));
     said
 }
 
-/// What was used; with `all`, that of what goes on as well.
+/// Returns a frame with the final usages and, with `all`, those of active runs too; `None` if there are none.
 fn uses(core: &Core, all: bool) -> Option<Bytes> {
     let uses = core.used.iter().filter(|(_, (_, last))| all || *last).take(AT_ONCE);
     let mut used = Frame::new(kind::USED);
@@ -147,7 +149,7 @@
     (used.len() > empty).then(|| used.finish())
 }
 
-/// Takes a frame in; returns what is answered.
+/// Handles a frame from a steward; returns the replies.
 fn take(agent: &Rc<Agent>, number: usize, body: &[u8]) -> Result<Vec<Bytes>, Fault> {
     let mut fields = Body::new(body)?;
     let kind = fields.kind();
@@ -174,7 +176,7 @@
     let now = core.clock.now();
     match (kind, job) {
         (kind::KEPT, _) => {
-            // That of a life before renews nothing.
+            // An acknowledgement for an earlier incarnation renews nothing.
             core.holder.renewed(life, sent);
             core.alive |= core.holder.may_work(now);
             if number == core.current {
--- a/crates/standin/src/capture.rs
+++ b/crates/standin/src/capture.rs
@@ -1,4 +1,4 @@
-//! What crossed the sockets, and what was done to them: one event a line, all by one clock.
+//! A capture of a run: messages that crossed the sockets and faults injected, one JSON event a line, all by one clock.
 
 use std::cell::RefCell;
 use std::fs::File;
@@ -10,49 +10,28 @@
 
 use crate::{Clock, Time};
 
+/// An event of a run. Captures are read by other builds too: names in them stay.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(rename_all = "snake_case", tag = "what")]
 pub enum Event {
-    /// A body crossed a stream between a forwarder and a steward; `down`: towards the forwarder. In hex.
-    Frame {
-        at: Time,
-        stream: u64,
-        down: bool,
-        body: String,
-    },
+    /// A frame's body, in hex, crossed a stream between a forwarder and a steward; `down` is towards the forwarder.
+    Frame { at: Time, stream: u64, down: bool, body: String },
     /// A stream between a forwarder and a steward was opened.
-    Opened {
-        at: Time,
-        stream: u64,
-        steward: usize,
-    },
+    Opened { at: Time, stream: u64, steward: usize },
     /// A stream between a forwarder and a steward has ended.
-    Shut {
-        at: Time,
-        stream: u64,
-    },
-    /// The list as it was published: server, state, boot.
-    Listed {
-        at: Time,
-        servers: Vec<(String, String, Time)>,
-    },
-    /// A server is up from now on (again).
-    Up {
-        at: Time,
-        server: String,
-        cold: bool,
-    },
-    Down {
-        at: Time,
-        server: String,
-    },
-    /// A server fell over, pushed while it was cold.
-    Fell {
-        at: Time,
-        server: String,
-        boot: Time,
-    },
-    /// A req reached a server and was taken in; `until`: when it has ended at the latest.
+    #[serde(rename = "shut")]
+    Shut { at: Time, stream: u64 },
+    /// The server list was published: server, state, boot.
+    Listed { at: Time, servers: Vec<(String, String, Time)> },
+    /// A server has started, for the first time or again.
+    Up { at: Time, server: String, cold: bool },
+    /// A server has stopped or crashed.
+    Down { at: Time, server: String },
+    /// A server crashed, overloaded while it was cold.
+    #[serde(rename = "fell")]
+    Fell { at: Time, server: String, boot: Time },
+    /// A server accepted a req, which ends at `until` at the latest.
+    #[serde(rename = "took")]
     Took {
         at: Time,
         server: String,
@@ -63,62 +42,30 @@
         forwarder: u64,
         until: Time,
     },
-    /// A req taken in has ended; `done`: it had its effect.
-    Ended {
-        at: Time,
-        server: String,
-        req: u64,
-        attempt: u64,
-        slice: u64,
-        writes: bool,
-        done: bool,
-    },
-    /// A req reached a server and was not taken in.
-    Turned {
-        at: Time,
-        server: String,
-        req: u64,
-        slice: u64,
-        writes: bool,
-        forwarder: u64,
-        status: u64,
-    },
-    /// A client asks for the first time.
-    Asked {
-        at: Time,
-        req: u64,
-        kind: usize,
-    },
-    /// A client has its last answer, or has given up.
-    Answered {
-        at: Time,
-        req: u64,
-        kind: usize,
-        status: u64,
-        took: Time,
-    },
-    /// What was done to the fleet.
-    Trouble {
-        at: Time,
-        text: String,
-    },
+    /// An accepted req has ended; `done` if it had its effect.
+    Ended { at: Time, server: String, req: u64, attempt: u64, slice: u64, writes: bool, done: bool },
+    /// A server rejected a req.
+    #[serde(rename = "turned")]
+    Turned { at: Time, server: String, req: u64, slice: u64, writes: bool, forwarder: u64, status: u64 },
+    /// A client sends the first try of a req.
+    #[serde(rename = "asked")]
+    Asked { at: Time, req: u64, kind: usize },
+    /// A client has its final response or has given up.
+    Answered { at: Time, req: u64, kind: usize, status: u64, took: Time },
+    /// A fault was injected into the fleet.
+    #[serde(rename = "trouble")]
+    Trouble { at: Time, text: String },
     /// A forwarder process was started, killed, stopped or continued.
-    Forwarder {
-        at: Time,
-        number: u64,
-        state: String,
-    },
-    /// A steward's process: `started`, `killed`, `ended`, `stopped`, `continued`.
+    Forwarder { at: Time, number: u64, state: String },
+    /// A steward's process was `started`, `killed`, `stopped` or `continued`, or has `ended`.
     Steward {
         at: Time,
         #[serde(default)]
         number: usize,
         state: String,
     },
-    /// Clients begin; service counts from here.
-    Began {
-        at: Time,
-    },
+    /// Clients begin; service is measured from here.
+    Began { at: Time },
 }
 
 struct Inner {
@@ -127,11 +74,12 @@
     failed: bool,
 }
 
-/// Where events go. Shared by all stand-ins of one process.
+/// Writes events to a file. Shared by all stand-ins of a process.
 #[derive(Clone)]
 pub struct Capture(Rc<RefCell<Inner>>);
 
 impl Event {
+    /// Returns when the event happened.
     pub fn at(&self) -> Time {
         match *self {
             Event::Frame { at, .. }
@@ -164,7 +112,7 @@
         self.0.borrow().clock.now()
     }
 
-    /// Takes an event in, with the time of the moment.
+    /// Records an event with the current time.
     pub fn note(&self, event: impl FnOnce(Time) -> Event) {
         let mut inner = self.0.borrow_mut();
         let event = event(inner.clock.now());
@@ -173,7 +121,7 @@
         inner.failed |= written.is_err();
     }
 
-    /// Writes out what is held back; an error now or earlier makes the capture unfit to be judged.
+    /// Flushes the capture; returns an error if this or an earlier write failed, as a run can't be judged from it then.
     pub fn finish(&self) -> io::Result<()> {
         let mut inner = self.0.borrow_mut();
         inner.file.flush()?;
@@ -184,7 +132,7 @@
     }
 }
 
-/// Reads a capture; a line that can't be read is an error with its number.
+/// Reads a capture; a malformed line is an error that names its number.
 pub fn read(path: &Path) -> io::Result<Vec<Event>> {
     let mut events = Vec::new();
     for (number, line) in BufReader::new(File::open(path)?).lines().enumerate() {
@@ -195,6 +143,7 @@
     Ok(events)
 }
 
+/// Encodes bytes as lower-case hex.
 pub fn hex(bytes: &[u8]) -> String {
     use std::fmt::Write as _;
     bytes.iter().fold(String::with_capacity(2 * bytes.len()), |mut text, byte| {
@@ -203,6 +152,7 @@
     })
 }
 
+/// Decodes hex; returns `None` if a digit is invalid.
 pub fn unhex(text: &str) -> Option<Vec<u8>> {
     let digits = text.as_bytes().chunks(2);
     digits.map(|pair| u8::from_str_radix(std::str::from_utf8(pair).ok()?, 16).ok()).collect()
--- a/crates/standin/src/clients.rs
+++ b/crates/standin/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: arrivals drawn from a seed that do not wait for answers, and retries by themselves.
+//! Clients with an open-loop load: seeded random arrivals that don't wait for responses, and retries.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -16,47 +16,50 @@
 use crate::wire::{status, tag, MOST, REQ, RES};
 use crate::{duration, Capture, Event, Time, SECOND};
 
-/// One request kind as clients send it.
+/// The load of one request kind.
 #[derive(Clone, Debug)]
 pub struct Kind {
+    /// Weight of the kind among all arrivals.
     pub share: f64,
-    /// Mean work in seconds of one core at speed 1; drawn exponentially around half of it.
+    /// Mean work in seconds of one core at speed 1: half is fixed, half exponentially distributed.
     pub work: f64,
     pub client_timeout: Time,
-    /// May run again after any failure; otherwise only after a denial.
+    /// True if it may be retried after any failure; otherwise only after a denial.
     pub replayable: bool,
 }
 
+/// The load that clients offer.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// First tries a second, over all clients.
+    /// First tries per second, over all clients.
     pub rate: f64,
     pub kinds: Vec<Kind>,
     pub keys: u64,
-    /// Some keys are asked for more: the nth in proportion to n to the minus this.
+    /// Exponent of the keys' Zipf distribution: the nth key has a weight of n to the power of minus `skew`.
     pub skew: f64,
     pub retries: u64,
     pub retry_after: Time,
     pub seed: u64,
 }
 
+/// All clients of a run.
 pub struct Clients {
     load: Load,
     capture: Capture,
-    /// Times the usual rate, for an overload.
+    /// Multiplier of the rate, for an overload.
     pub times: Cell<f64>,
     doors: Vec<Rc<Door>>,
     chance: RefCell<fastrand::Rng>,
-    /// Sums of the weights of keys, to draw one by.
+    /// Cumulative weights of the keys.
     keys: Vec<f64>,
     next: Cell<u64>,
     probes: Cell<u64>,
     open: Cell<u64>,
 }
 
-/// A connection to one forwarder, opened again when it broke.
+/// A connection to one forwarder, reopened after it breaks.
 struct Door {
-    /// Where the forwarder listens now; another life listens elsewhere.
+    /// The forwarder's address, which changes when it restarts.
     address: Cell<Option<SocketAddr>>,
     frames: RefCell<Option<mpsc::Sender<Bytes>>>,
     pending: RefCell<BTreeMap<u64, oneshot::Sender<u64>>>,
@@ -89,24 +92,24 @@
         })
     }
 
-    /// A forwarder listens here from now on.
+    /// Sets the address of a forwarder and drops the connection to its old one.
     pub fn forwarder_at(&self, number: usize, address: SocketAddr) {
         let door = &self.doors[number];
         door.address.set(Some(address));
         door.frames.borrow_mut().take();
     }
 
-    /// Reqs without a last answer.
+    /// Returns the number of reqs without a final response.
     pub fn open(&self) -> u64 {
         self.open.get()
     }
 
-    /// Whether a forwarder gets a req of this slice done now. Probes are no reqs of the day, and take no work.
+    /// Returns true if a forwarder gets a req of this slice done. Probes aren't counted as load and take no work.
     pub async fn probe(&self, door: usize, slice: u64, kind: usize) -> bool {
         let door = &self.doors[door];
         let number = door.tries.get() + 1;
         door.tries.set(number);
-        // Reqs count from 0 upward, probes from the top downward.
+        // Ids of reqs count up from 0, those of probes down from the maximum.
         self.probes.set(self.probes.get() + 1);
         let body = Frame::new(REQ)
             .numbers(tag::ID, &[u64::MAX - self.probes.get(), 0])
@@ -121,7 +124,7 @@
         matches!(answer, Ok(Ok(status::DONE)))
     }
 
-    /// Sends reqs until a time, whether or not answers come.
+    /// Sends reqs until a point in time, without waiting for responses.
     pub async fn arrive(self: &Rc<Clients>, until: Time) {
         let mut at = self.capture.now();
         loop {
@@ -165,7 +168,7 @@
         });
     }
 
-    /// The first try and those after it; the client timeout spans them all.
+    /// Sends the first try and the retries, all within the client timeout; returns the final status.
     async fn tries(&self, req: u64, kind: usize, key: u64, work: f64, door: usize, began: Time) -> u64 {
         let own = &self.load.kinds[kind];
         let mut last = status::ERRORED;
@@ -174,7 +177,7 @@
             if left <= 0 {
                 break;
             }
-            // Another try goes to another forwarder.
+            // Each retry goes to the next forwarder.
             let door = &self.doors[(door + attempt as usize) % self.doors.len()];
             let number = door.tries.get() + 1;
             door.tries.set(number);
@@ -195,7 +198,7 @@
                         Err(_) => return status::ERRORED,
                     }
                 }
-                // It never left.
+                // It was never sent.
                 _ => status::DENIED,
             };
             let never_ran = matches!(last, status::DENIED | status::FULL | status::LATE);
@@ -209,7 +212,7 @@
 }
 
 impl Door {
-    /// Hands a try to the forwarder; none where there is no connection to be had.
+    /// Sends a try to the forwarder; returns `None` if it can't be connected to.
     async fn send(self: &Rc<Door>, number: u64, body: Bytes) -> Option<oneshot::Receiver<u64>> {
         if self.frames.borrow().is_none() {
             self.connect().await?;
@@ -258,7 +261,7 @@
                     }
                 }
             }
-            // Whoever waits here learns that no answer comes.
+            // Dropping the senders fails the pending tries.
             door.frames.borrow_mut().take();
             door.pending.borrow_mut().clear();
         });
--- a/crates/standin/src/effects.rs
+++ b/crates/standin/src/effects.rs
@@ -1,5 +1,5 @@
-//! A place where the effects of jobs land, as its takers are asked to be: it keeps the highest token of each job, refuses
-//! lower ones, and knows which steps have landed.
+//! A service that applies the effects of jobs and follows the rules for effect receivers: it keeps the highest token of
+//! each job, refuses lower ones, and records which steps have been applied.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -16,36 +16,38 @@
 
 use crate::Time;
 
-/// Bytes of a call or an answer at most.
+/// Maximum size in bytes of a call or an answer.
 pub const MOST: usize = 4_096;
 
-/// What a site asks for. `site`: who it says it is.
+/// A call by a site, which names itself in `site`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Call {
-    /// The job is mine under this token: which of its steps have landed? Nobody with a lower token gets anything done from
-    /// here on.
+    /// Claims the job under this token and asks how many of its steps have been applied. Calls with a lower token are
+    /// refused from here on.
     Open { site: String, job: String, token: u64 },
-    /// Step number so much lands, if it has not yet.
+    /// Applies the step of this number, unless it has been applied.
     Step { site: String, job: String, token: u64, step: u64 },
 }
 
+/// The answer to a [`Call`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Answer {
-    /// So many steps have landed.
+    /// The number of steps that have been applied.
+    #[serde(rename = "landed")]
     Landed(u64),
-    /// The token that holds is higher.
+    /// Refused, as a higher token has been seen: this one.
     Refused(u64),
 }
 
-/// What came of a call, in order.
+/// A call and its answer, as recorded.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Landing {
     pub at: Time,
     pub call: Call,
     pub answer: Answer,
-    /// The step took effect by this call.
+    /// True if the step took effect by this call.
     pub effect: bool,
 }
 
@@ -53,17 +55,17 @@
     taker: Taker<String>,
     landed: BTreeMap<String, u64>,
     landings: Vec<Landing>,
-    /// It has no memory, neither of tokens nor of steps: a taker that is none.
+    /// Fault: it remembers neither tokens nor steps.
     forgets: bool,
     now: Box<dyn Fn() -> Time>,
 }
 
-/// Shared by its sockets.
+/// The effects service; clones share its state.
 #[derive(Clone)]
 pub struct Effects(Rc<RefCell<Inner>>);
 
 impl Effects {
-    /// `jobs`: remembered at most.
+    /// Remembers at most `jobs` jobs.
     pub fn new(jobs: usize, forgets: bool, now: impl Fn() -> Time + 'static) -> Effects {
         Effects(Rc::new(RefCell::new(Inner {
             taker: Taker::new(jobs),
@@ -74,6 +76,7 @@
         })))
     }
 
+    /// Returns all calls so far, in order.
     pub fn landings(&self) -> Vec<Landing> {
         self.0.borrow().landings.clone()
     }
--- a/crates/standin/src/forwarder/mod.rs
+++ b/crates/standin/src/forwarder/mod.rs
@@ -1,6 +1,6 @@
-//! A forwarder: takes reqs of clients, picks a plan server by the tables that a steward publishes, sends them on.
+//! A forwarder: accepts clients' reqs, picks plan servers by the tables that stewards publish, and forwards the reqs.
 //!
-//! It runs in a process of its own, on one thread, so that it can be killed, stopped and continued for real.
+//! It runs single-threaded in a process of its own, so that it can be killed, stopped and continued for real.
 
 mod pool;
 mod stream;
@@ -24,29 +24,29 @@
 
 pub use table::Table;
 
+/// How a forwarder runs, and the faults it has.
 #[derive(Clone, Debug)]
 pub struct Options {
     pub number: u64,
     pub zone: String,
     pub stewards: Vec<SocketAddr>,
     pub seed: u64,
-    /// Reqs a second that it usually gets.
+    /// Its usual rate of reqs per second.
     pub usual: f64,
-    /// Microseconds that it stands still for each line taken in.
+    /// Microseconds that it stalls for each line applied.
     pub stall_us: u64,
-    /// It keeps away from a server after so many failures in a row (0: never), for so long.
+    /// Number of consecutive failures after which it avoids a server (0: never), and for how long.
     pub away_after: u32,
     pub away_for: Time,
-    /// It answers marks without letting go of any slice that it has an owner for.
+    /// Fault: it acknowledges marks without releasing any slice that it has an owner for.
     pub lies: bool,
-    /// It takes in whatever comes last, and any lease for any slice, as if there were no terms, from however old a
-    /// stream.
+    /// Fault: it ignores terms. The latest change applies and any lease counts for any slice, from however old a stream.
     pub ignores_terms: bool,
-    /// It stops itself between the pick and the send of its write of this number.
+    /// Fault: it stops its process between the pick and the send of the write of this number.
     pub stop_at: Option<u64>,
 }
 
-/// What one server has been like since the last report.
+/// Observations of one server since the last report.
 #[derive(Clone, Debug, Default)]
 struct Met {
     tries: u64,
@@ -62,9 +62,9 @@
     table: Table,
     pool: BTreeMap<SocketAddr, Rc<pool::Line>>,
     away: BTreeMap<SocketAddr, (u32, Time)>,
-    /// By steward and its number of the server.
+    /// Observations by steward and that steward's number for the server.
     met: BTreeMap<(usize, u64), Met>,
-    /// By slice and request kind.
+    /// Number of arrivals by slice and request kind.
     arrived: BTreeMap<(u64, u64), u64>,
     writes: u64,
 }
@@ -72,11 +72,11 @@
 /// Shared by the tasks of a forwarder.
 pub struct Forwarder {
     core: RefCell<Core>,
-    /// The table has changed.
+    /// Notified when the table has changed.
     changed: Notify,
 }
 
-/// Runs until the process ends. `listening` is told where clients may connect.
+/// Runs a forwarder until the process ends. Calls `listening` with the address to which clients connect.
 pub async fn run(options: Options, listening: impl FnOnce(SocketAddr)) -> std::io::Result<()> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     listening(listener.local_addr()?);
@@ -101,7 +101,7 @@
     }
 }
 
-/// One client process: its reqs in, their answers out, in whatever order they end.
+/// Serves a client's connection; responses are sent in the order in which reqs end.
 async fn client(forwarder: Rc<Forwarder>, socket: TcpStream) {
     let _ = socket.set_nodelay(true);
     let (read, write) = socket.into_split();
@@ -130,7 +130,7 @@
     }
 }
 
-/// What a client sent, as the forwarder passes it on.
+/// A client's req.
 struct Req {
     id: u64,
     attempt: u64,
@@ -180,7 +180,7 @@
             match picked {
                 Pick::Denied => return status::DENIED,
                 Pick::Wait => {
-                    // Held while the slice has no server, at most so long.
+                    // The req is held while the slice has no server, for at most `hold`.
                     let now = self.core.borrow().clock.now();
                     if tokio::time::timeout(duration(taken + hold - now), changed).await.is_err() {
                         return status::DENIED;
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Sends a try; none where the pick no longer held once there was a connection.
+    /// Sends a try and returns its status; `None` if the pick is no longer valid once connected.
     async fn send(&self, req: &Req, slice: u64, line: &Rc<pool::Line>, taken: Time) -> Option<u64> {
         let left = duration(taken + req.waits - self.core.borrow().clock.now());
         let ready = tokio::time::timeout(left, pool::ready(self, line)).await;
@@ -222,7 +222,7 @@
         }
         let answer = {
             let core = self.core.borrow();
-            // The lease again, in the plan server's own time: what is held up from here on is refused there.
+            // The lease's end goes along as the latest start: the plan server refuses a write that is delayed past it.
             let start_by = if writes { core.table.lease_until(slice) } else { taken + req.waits };
             let finish_by = if writes { taken + core.table.settle } else { taken + req.waits };
             line.send(&core, req, slice, writes, start_by, finish_by)
@@ -240,7 +240,8 @@
         Some(status)
     }
 
-    /// Takes in how a try went, for the steward in charge of its slice, as long as that has the slice at this server.
+    /// Records the result of a try. It is reported to the steward that the slice is assigned to if that still has the slice
+    /// at this server.
     fn learn(&self, slice: u64, address: SocketAddr, began: Time, good: bool, util: Option<f64>) {
         let mut core = self.core.borrow_mut();
         let core = &mut *core;
@@ -264,7 +265,7 @@
         }
     }
 
-    /// Stops the process at its stated write, as if it had been paused between its pick and its send.
+    /// Stops the process if this is the write at which it is to stop, between the pick and the send.
     fn stop_here(&self) {
         let stop = {
             let mut core = self.core.borrow_mut();
@@ -280,7 +281,7 @@
 
 enum Pick {
     Server(Rc<pool::Line>),
-    /// The slice has no server.
+    /// The slice has no server yet.
     Wait,
     Denied,
 }
@@ -306,7 +307,7 @@
         Pick::Server(line.clone())
     }
 
-    /// Where a req stands between 0 and 1: a client that comes again is refused again.
+    /// Maps a req to a number between 0 and 1 by a hash of its id, so that its retries are denied as well.
     fn share_of(&self, req: &Req) -> f64 {
         let mixed = (req.id ^ self.options.seed).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         (mixed >> 11) as f64 / (1u64 << 53) as f64
--- a/crates/standin/src/forwarder/pool.rs
+++ b/crates/standin/src/forwarder/pool.rs
@@ -1,4 +1,4 @@
-//! One connection to each plan server, opened when it is first needed, with many tries on it.
+//! One connection to each plan server, opened on first use and shared by many tries.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -17,11 +17,13 @@
 use crate::wire::{status, tag, GREETING, MOST, REQ, RES};
 use crate::{duration, Clock, Time};
 
-/// How long a connection may take to open and greet.
+/// Timeout for a connection to open and deliver the server's greeting.
 const CONNECT: Time = 4_000;
 
+/// Status of a try and the server's utilisation.
 type Answer = (u64, f64);
 
+/// The connection to a plan server, or the lack of one.
 pub struct Line {
     pub address: SocketAddr,
     open: RefCell<Option<Open>>,
@@ -31,10 +33,10 @@
 }
 
 struct Open {
-    /// A try's frame, and the time after which it may not leave any more.
+    /// Number of a try, its frame, and the time after which it must not be sent.
     frames: mpsc::Sender<(u64, Bytes, Time)>,
     pending: BTreeMap<u64, oneshot::Sender<Answer>>,
-    /// The server's clock, and the own one when that was heard.
+    /// The server's clock as last received, and the local clock at that moment.
     heard: (Time, Time),
 }
 
@@ -49,7 +51,7 @@
         }
     }
 
-    /// Hands a try to the connection; none where there is none any more. Times are the forwarder's own.
+    /// Queues a try; returns `None` if the connection has closed or its queue is full. Times are by the forwarder's clock.
     pub fn send(
         self: &Rc<Line>,
         core: &Core,
@@ -63,8 +65,7 @@
         let open = open.as_mut()?;
         let its_try = self.tries.get() + 1;
         self.tries.set(its_try);
-        // What the server's clock showed lies before the time at which it was heard, so that a time reckoned from it
-        // is never later than meant.
+        // The server read its clock before the local clock was read, so a converted time is never later than intended.
         let (theirs, ours) = open.heard;
         let at_server = |time: Time| (theirs + (time - ours)).max(0) as u64;
         let body = Frame::new(REQ)
@@ -93,7 +94,7 @@
     }
 }
 
-/// Waits until the line has a connection; fails where it could not be had.
+/// Waits until there is a connection; fails if it couldn't be opened.
 pub async fn ready(forwarder: &Forwarder, line: &Rc<Line>) -> Result<(), ()> {
     if line.open.borrow().is_some() {
         return Ok(());
@@ -138,7 +139,7 @@
     let writer = async {
         let mut frames = FramedWrite::new(write, codec(MOST));
         while let Some((its_try, body, start_by)) = queue.recv().await {
-            // Looked at again right before it goes out.
+            // Checked again right before it is sent.
             if clock.now() >= start_by {
                 line.answered(its_try, (status::LATE, 0.0));
             } else if frames.send(body).await.is_err() {
@@ -159,7 +160,7 @@
         () = writer => {}
         () = reader => {}
     }
-    // Those that wait for an answer learn that none comes.
+    // Dropping the senders fails the pending tries.
     line.open.borrow_mut().take();
 }
 
--- a/crates/standin/src/forwarder/stream.rs
+++ b/crates/standin/src/forwarder/stream.rs
@@ -1,4 +1,4 @@
-//! The stream to a steward: hello, the whole table, changes, marks, pings and reports.
+//! The stream to a steward: hello, the full table, changes, marks, pings and reports.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,11 +16,11 @@
 use super::{Forwarder, Met};
 use crate::{duration, Time};
 
-/// Follows all stewards, each for ever. What one said stays while it is not there.
+/// Keeps a stream to each steward, reconnecting forever. A steward's table stays in use while it is unreachable.
 pub fn follow(forwarder: &Rc<Forwarder>) {
     let (stewards, boot) = {
         let mut core = forwarder.core.borrow_mut();
-        // Another life has another number, though the seed is the same.
+        // A restarted forwarder has another boot id, though its seed is the same.
         let boot = core.clock.now() as u64 ^ core.chance.u64(..);
         (core.options.stewards.clone(), boot)
     };
@@ -37,11 +37,13 @@
     }
 }
 
-/// What a stream is about: learnt by its welcome, and by whether the whole table has been read on it.
+/// State of one stream.
 struct Joined {
-    /// Which of the stewards it is.
+    /// Index of the steward.
     steward: usize,
+    /// Duration of the lease, from the welcome.
     lease: Time,
+    /// True once the full table has been read on this stream.
     read: bool,
     next: Reading,
 }
@@ -67,7 +69,7 @@
     let mut echoed = Instant::now();
     loop {
         tokio::select! {
-            // What has come in goes before what is to be said.
+            // Received frames are handled before anything is sent.
             biased;
             body = read.next() => {
                 let Some(body) = body else { return Ok(()) };
@@ -158,7 +160,7 @@
     Ok((lease, term, ping, report))
 }
 
-/// A part of the whole table; with its end the table takes the place of the one before, and that is answered.
+/// Reads a part of the full table. At its end the table replaces the previous one, and the frame to answer is returned.
 fn read_part(forwarder: &Forwarder, state: &mut Joined, mut body: Body) -> Result<Option<Bytes>, Fault> {
     let mut answer = None;
     while let Some((tag, mut field)) = body.field()? {
@@ -174,10 +176,10 @@
     Ok(answer)
 }
 
-/// Applies changes, stands still for their lines, and returns the answer that is asked for.
+/// Applies changes, stalls for their lines, and returns the answer if one is requested.
 fn take(forwarder: &Forwarder, state: &Joined, mut body: Body) -> Result<Option<Bytes>, Fault> {
     if !state.read {
-        return Err(Fault::Empty); // the whole table comes first
+        return Err(Fault::Empty); // the full table comes first
     }
     let (mut answer, mut asked, mut lines) = (Frame::new(kind::ANSWER), false, 0);
     let mut core = forwarder.core.borrow_mut();
@@ -195,14 +197,14 @@
     Ok(asked.then(|| answer.finish()))
 }
 
-/// An echo renews the lease from when its ping was sent, if the whole table has been read on this stream.
+/// Renews the lease from when the echoed ping was sent, if the full table has been read on this stream.
 fn renew(forwarder: &Forwarder, state: &Joined, sent: Time) {
     if state.read {
         forwarder.core.borrow_mut().table.renew(state.steward, sent + state.lease);
     }
 }
 
-/// What a steward is to hear: of its servers, and of the slices that it is in charge of.
+/// Returns a steward's report: its servers and the arrivals of its slices. `None` if there is nothing to report.
 fn reported(forwarder: &Forwarder, steward: usize, window: Duration) -> Option<Bytes> {
     let mut core = forwarder.core.borrow_mut();
     let core = &mut *core;
@@ -220,9 +222,9 @@
     frame.numbers(tag::WINDOW, &[window.as_micros() as u64 / 100]);
     for ((_, server), met) in met {
         let took = met.took as u64 / (met.tries - met.failed).max(1);
-        let mut row = vec![server, met.tries, met.failed, took];
-        row.extend(met.util.map(millionths));
-        frame.numbers(tag::MET, &row);
+        let mut numbers = vec![server, met.tries, met.failed, took];
+        numbers.extend(met.util.map(millionths));
+        frame.numbers(tag::MET, &numbers);
     }
     for ((slice, kind), count) in arrived {
         frame.numbers(tag::ARRIVED, &[slice, kind, count]);
--- a/crates/standin/src/forwarder/table.rs
+++ b/crates/standin/src/forwarder/table.rs
@@ -1,4 +1,4 @@
-//! What a forwarder holds of the tables, and how lines of several stewards change it.
+//! A forwarder's view of the slices, merged from the tables of several stewards.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,58 +7,67 @@
 
 use crate::Time;
 
+/// The line and levels of a slice.
 #[derive(Clone, Debug, Default)]
 struct Line {
     owner: Option<Owner>,
-    /// Its weight is below a whole: open to reads alone.
+    /// True if the weight is below the full weight: the slice is open to reads only.
     reads_only: bool,
+    /// Mask of request kinds (0: all) and the admitted share, the newest last.
     levels: Vec<(u64, f64)>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Owner {
-    /// Its number on the stream of the steward whose line it is; none once that stream has another table.
+    /// The server's number in the table of the steward that set the line; `None` once that table has been replaced.
     server: Option<u64>,
     address: SocketAddr,
 }
 
-/// What holds for a slice, and who says so.
+/// The state of a slice and the steward that it is from.
 #[derive(Clone, Debug, Default)]
 struct Slice {
-    /// The highest term seen for it; nothing of a lower one is taken in.
+    /// The highest term seen for the slice. Assignments of lower terms are refused.
     term: u64,
     steward: usize,
     line: Line,
-    /// Its steward has left it: that one's lease counts no further than it did then.
+    /// Set when the steward has released the slice: its lease counts no further than at that moment.
     lease_until: Option<Time>,
 }
 
-/// What one steward says beside its lines, and the lease that it has given.
+/// State of one steward beside its lines.
 #[derive(Clone, Debug, Default)]
 struct Steward {
+    /// Levels for all slices, as in `Line::levels`.
     all: Vec<(u64, f64)>,
     servers: BTreeMap<u64, SocketAddr>,
+    /// Servers that the steward has withdrawn.
     out: Vec<u64>,
+    /// End of the lease that its last echo gave.
     lease_until: Time,
 }
 
-/// The whole table of one steward while it is read: it takes the place of the one before at once.
+/// The full table of a steward while it is read. At its end it replaces the previous one atomically.
 #[derive(Clone, Debug, Default)]
 pub struct Reading {
     slices: BTreeMap<usize, (u64, Line)>,
     steward: Steward,
 }
 
+/// The merged tables of all stewards.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     slices: Vec<Slice>,
     stewards: Vec<Steward>,
+    /// True for each request kind that writes.
     kinds: Vec<bool>,
+    /// How long a req waits for a slice to get a server.
     pub hold: Time,
+    /// Time within which a write ends.
     pub settle: Time,
-    /// It takes in whatever comes last, and any lease for any slice, as if there were no terms.
+    /// Fault: terms are ignored. The latest change applies, and any lease counts for any slice.
     pub ignores_terms: bool,
-    /// Fields that were refused because a higher term had been seen for their slice.
+    /// Number of fields refused because a higher term had been seen for their slice.
     pub refused: u64,
 }
 
@@ -67,13 +76,13 @@
         Table { stewards: vec![Steward::default(); stewards], ignores_terms, ..Table::default() }
     }
 
-    /// What a welcome says of the table's shape.
+    /// Applies a welcome: the number of slices, which kinds write, and the times.
     pub fn shape(&mut self, slices: usize, kinds: Vec<bool>, hold: Time, settle: Time) {
         self.slices.resize(slices, Slice::default());
         (self.kinds, self.hold, self.settle) = (kinds, hold, settle);
     }
 
-    /// Whether what a steward says of a slice counts. What doesn't is counted.
+    /// Returns true if a slice is assigned to the steward, so that its change applies; else counts the refusal.
     fn counts(&mut self, steward: usize, slice: usize) -> bool {
         let Some(entry) = self.slices.get(slice) else { return false };
         let counts = self.ignores_terms || entry.steward == steward && entry.term > 0;
@@ -97,7 +106,7 @@
         }
     }
 
-    /// Takes in one field of a part of the whole table.
+    /// Reads one field of a part of the full table.
     pub fn read(&self, reading: &mut Reading, tag: u8, mut field: Numbers) -> Result<(), Fault> {
         match tag {
             tag::CHARGE => {
@@ -125,12 +134,12 @@
         Ok(())
     }
 
-    /// The whole table of a steward has been read.
+    /// Replaces a steward's table by one that has been read in full.
     pub fn replace(&mut self, steward: usize, reading: Reading) {
         for slice in 0..self.slices.len() {
             if self.slices[slice].steward == steward && !reading.slices.contains_key(&slice) {
                 self.leave(steward, slice);
-                // Numbers of servers are those of the new table from here on.
+                // The old table's server numbers are no longer valid.
                 self.slices[slice].line.owner.iter_mut().for_each(|owner| owner.server = None);
             }
         }
@@ -141,7 +150,7 @@
         }
     }
 
-    /// Takes in one field of a change; true where it was a line.
+    /// Applies one field of a change; returns true if it counts as a line.
     pub fn take(&mut self, steward: usize, tag: u8, mut field: Numbers) -> Result<bool, Fault> {
         match tag {
             tag::CHARGE => {
@@ -193,13 +202,13 @@
         Ok(false)
     }
 
-    /// An echo by a steward that is in charge gives a lease until then.
+    /// Extends a steward's lease.
     pub fn renew(&mut self, steward: usize, until: Time) {
         let lease = &mut self.stewards[steward].lease_until;
         *lease = until.max(*lease);
     }
 
-    /// When the lease on a slice's writes ends.
+    /// Returns when the lease on a slice's writes ends.
     pub fn lease_until(&self, slice: u64) -> Time {
         if self.ignores_terms {
             return self.stewards.iter().map(|steward| steward.lease_until).max().unwrap_or(0);
@@ -209,7 +218,7 @@
         entry.lease_until.map_or(lease, |until| until.min(lease))
     }
 
-    /// Whether a field leaves every slice that has an owner with that one.
+    /// Returns true if a field moves no slice away from an owner that it has.
     pub fn keeps_owners(&self, tag: u8, mut field: Numbers) -> bool {
         if !matches!(tag, tag::LINE | tag::DROP) {
             return true;
@@ -218,17 +227,17 @@
         held.is_none_or(|owner| tag == tag::LINE && field.number().ok() == owner.server)
     }
 
-    /// The slice of a key, once there are slices.
+    /// Returns the slice of a key; `None` before the first welcome.
     pub fn slice(&self, key: u64) -> Option<u64> {
         key.checked_rem(self.slices.len() as u64)
     }
 
-    /// Who is in charge of a slice.
+    /// Returns the index of the steward that a slice is assigned to.
     pub fn steward(&self, slice: u64) -> usize {
         self.slices.get(slice as usize).map_or(0, |entry| entry.steward)
     }
 
-    /// The server that owns a slice: its number at the steward in charge, and its address.
+    /// Returns the owner of a slice: its number at the assigned steward, if still valid, and its address.
     pub fn owner(&self, slice: u64) -> Option<(Option<u64>, SocketAddr)> {
         let entry = self.slices.get(slice as usize)?;
         let Owner { server, address } = entry.line.owner?;
@@ -236,7 +245,7 @@
         Some((server, newest.copied().unwrap_or(address)))
     }
 
-    /// The share of a kind that is let in: the lower of the slice's level and that of all, each the newest set.
+    /// Returns the share of a kind that is admitted: the lower of the slice's newest level and the newest for all slices.
     pub fn level(&self, slice: u64, kind: u64) -> f64 {
         let newest = |levels: &[(u64, f64)]| {
             let found = levels.iter().rev().find(|&&(kinds, _)| kinds == 0 || kinds >> kind & 1 != 0);
@@ -247,24 +256,25 @@
         newest(&entry.line.levels).min(all)
     }
 
-    /// Whether a slice's line lets no write through.
+    /// Returns true if a slice's line admits no writes.
     pub fn reads_only(&self, slice: u64) -> bool {
         self.slices.get(slice as usize).is_some_and(|entry| entry.line.reads_only)
     }
 
-    /// Whether the steward in charge of a slice has withdrawn a server.
+    /// Returns true if the steward that the slice is assigned to has withdrawn the server.
     pub fn withdrawn(&self, slice: u64, server: Option<u64>) -> bool {
         let out = self.stewards.get(self.steward(slice)).map(|steward| &steward.out);
         server.is_some_and(|server| out.is_some_and(|out| out.contains(&server)))
     }
 
+    /// Returns true if a request kind writes; so does an unknown kind.
     pub fn writes(&self, kind: u64) -> bool {
         self.kinds.get(kind as usize).copied().unwrap_or(true)
     }
 }
 
 impl Line {
-    /// The rest of a line behind its slice: server, weight.
+    /// Reads the fields after the slice: server and weight.
     fn take(&mut self, field: &mut Numbers, servers: &BTreeMap<u64, SocketAddr>) -> Result<(), Fault> {
         let (server, weight) = (field.number()?, field.fraction()?);
         let owner = servers.get(&server).map(|&address| Owner { server: Some(server), address });
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,7 +1,8 @@
-//! Stand-ins for what the service meets: plan servers, forwarders, clients. Real TCP on loopback.
+//! Stand-ins for the components around the service: plan servers, forwarders, clients, agents, the shared store and the
+//! platform. They talk real TCP on loopback.
 //!
-//! A req travels as a small frame, on the codec of the plain stream: client to forwarder to plan server, and the
-//! answer back. What the stand-ins meet goes into a [`Capture`], from which the lab judges.
+//! A req travels as a small frame in the encoding of the plain stream: from client to forwarder to plan server, and the
+//! response back. The stand-ins record their events in a [`Capture`], from which the lab judges a run.
 
 pub mod agent;
 pub mod capture;
@@ -19,16 +20,18 @@
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Times are tenths of a millisecond.
+/// A point in time or a duration, in units of 0.1 ms.
 pub type Time = i64;
 
+/// One second as a [`Time`].
 pub const SECOND: Time = 10_000;
 
+/// Converts to a [`Duration`]; negative times become zero.
 pub fn duration(time: Time) -> Duration {
     Duration::from_micros(time.max(0) as u64 * 100)
 }
 
-/// The wall clock when it was made, monotonic from then on.
+/// A clock that starts at the wall clock's time of its creation and is monotonic from then on.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     began: Instant,
--- a/crates/standin/src/platform/discovery.rs
+++ b/crates/standin/src/platform/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: the whole list, and watches that wait for something newer.
+//! Discovery: the full list of hosts, and watches that wait for changes.
 
 use std::collections::VecDeque;
 use std::convert::Infallible;
@@ -20,23 +20,26 @@
 
 #[derive(Default)]
 struct State {
+    /// The generation of the list.
     version: u64,
+    /// The full list.
     whole: Vec<Value>,
-    /// The changes of each version after the first.
+    /// The changed entries of each version after the first.
     changes: Vec<(u64, Vec<Value>)>,
+    /// Calls received, and connections accepted.
     calls: usize,
     connections: usize,
     faults: VecDeque<ListFault>,
-    /// Watches tell nothing new any more.
+    /// Watches return no changes.
     frozen: bool,
-    /// No call is answered for now.
+    /// No call is answered.
     silent: bool,
-    /// The version and the hosts that are told in place of the newest.
+    /// The version and hosts that are published in place of the current ones.
     held: Option<(u64, Vec<Value>)>,
 }
 
 impl State {
-    /// The version and the hosts that are told.
+    /// Returns the version and hosts that are published.
     fn told(&self) -> (u64, &[Value]) {
         match &self.held {
             Some((version, whole)) => (*version, whole),
@@ -45,26 +48,28 @@
     }
 }
 
-/// What goes wrong with one answer.
+/// A fault of one response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListFault {
-    /// It breaks off in its middle, and so does the connection.
+    /// Half of the body is sent, then the connection breaks.
     Broken,
-    /// Its length is said to be less than it is.
+    /// Half of the body is sent, with a Content-Length that matches the half.
     Short,
-    /// It never comes.
+    /// It is never sent.
     Silent,
-    /// One entry can't be read.
+    /// One entry is malformed.
     Spoilt,
 }
 
+/// A discovery service at one address.
 pub struct Discovery {
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
+    /// Notified when watches and waiting calls must check the state again.
     news: Arc<Notify>,
     /// Notified at each call.
     asked: Arc<Notify>,
-    /// Notified once no new connection is taken at this address.
+    /// Notified to stop accepting connections at this address.
     closing: Arc<Notify>,
     _serving: JoinSet<()>,
 }
@@ -73,21 +78,21 @@
     state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-/// A host in discovery's form.
+/// Returns a host's entry in discovery's format.
 pub fn host(id: &str, lifecycle: &str) -> Value {
     json!({"instanceId": id, "hostPort": "127.0.0.1:9", "zone": "a", "machineType": "m", "cell": 0,
         "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0})
 }
 
 impl Discovery {
-    /// Serves a list of these hosts, all active.
+    /// Starts a service that lists these hosts, all active.
     pub async fn start(hosts: &[&str]) -> std::io::Result<Discovery> {
         let whole = hosts.iter().map(|id| host(id, "active")).collect();
         let state = Arc::new(Mutex::new(State { version: 1, whole, ..State::default() }));
         Discovery::serving(state, Arc::new(Notify::new()), Arc::new(Notify::new())).await
     }
 
-    /// The same at one more address.
+    /// Serves the same list at one more address.
     pub async fn also(&self) -> std::io::Result<Discovery> {
         Discovery::serving(self.state.clone(), self.news.clone(), self.asked.clone()).await
     }
@@ -105,12 +110,12 @@
         Ok(Discovery { address, state, news, asked, closing, _serving: serving })
     }
 
-    /// No new connection is taken at this address; those that are open go on until this is dropped.
+    /// Stops accepting connections at this address; open ones continue until this is dropped.
     pub fn stop_accepting(&self) {
         self.closing.notify_one();
     }
 
-    /// One host is now listed so.
+    /// Sets the lifecycle of a host, adding or removing it as needed.
     pub fn set(&self, id: &str, lifecycle: &str) {
         let mut state = locked(&self.state);
         state.version += 1;
@@ -125,64 +130,64 @@
         self.news.notify_waiters();
     }
 
-    /// The hosts that are listed as finishing what they have.
+    /// Returns the hosts that are listed as leaving.
     pub fn leaving(&self) -> Vec<String> {
         let state = locked(&self.state);
         let leaving = state.whole.iter().filter(|host| host["lifecycle"] == "leaving");
         leaving.filter_map(|host| host["instanceId"].as_str().map(str::to_owned)).collect()
     }
 
-    /// These befall the next answers.
+    /// Injects a fault into each of the next responses.
     pub fn befall(&self, faults: &[ListFault]) {
         locked(&self.state).faults.extend(faults);
     }
 
-    /// Faults that are still to come.
+    /// Returns the number of faults that are still to occur.
     pub fn faults(&self) -> usize {
         locked(&self.state).faults.len()
     }
 
-    /// From here on watches are answered in time, and with nothing new.
+    /// From here on watches return at their timeout, without changes.
     pub fn freeze(&self) {
         locked(&self.state).frozen = true;
     }
 
-    /// No call is answered from here on.
+    /// Stops answering calls; they wait.
     pub fn fall_silent(&self) {
         locked(&self.state).silent = true;
     }
 
-    /// What is told from here on is the list as it is now, however it changes.
+    /// Publishes the list as it is now from here on, however it changes.
     pub fn hold_back(&self) {
         let mut state = locked(&self.state);
         state.held = Some((state.version, state.whole.clone()));
     }
 
-    /// Calls are answered again, with what is held back if something is.
+    /// Answers calls again, including those that wait.
     pub fn speak(&self) {
         locked(&self.state).silent = false;
         self.news.notify_waiters();
     }
 
-    /// The newest is told again.
+    /// Publishes the current list again.
     pub fn catch_up(&self) {
         locked(&self.state).held = None;
         self.news.notify_waiters();
     }
 
-    /// The version counts from here, as in a discovery that has started over.
+    /// Sets the version and drops the history, as when discovery has restarted.
     pub fn renumber(&self, version: u64) {
         let mut state = locked(&self.state);
         state.changes.clear();
         state.version = version;
     }
 
-    /// Calls answered or waiting so far.
+    /// Returns the number of calls received.
     pub fn calls(&self) -> usize {
         locked(&self.state).calls
     }
 
-    /// Waits until so many calls have been answered or wait.
+    /// Waits until this number of calls has been received.
     pub async fn until_called(&self, calls: usize) {
         loop {
             let asked = self.asked.notified();
@@ -193,7 +198,7 @@
         }
     }
 
-    /// Connections taken so far.
+    /// Returns the number of connections accepted.
     pub fn connections(&self) -> usize {
         locked(&self.state).connections
     }
@@ -233,7 +238,7 @@
 
 type Answer = Response<BoxBody<Bytes, std::io::Error>>;
 
-/// An answer as the next fault has it.
+/// Answers a call, applying the next injected fault.
 async fn answer(
     request: Request<hyper::body::Incoming>,
     state: Arc<Mutex<State>>,
@@ -250,7 +255,7 @@
     let body = match fault {
         Some(ListFault::Silent) => std::future::pending().await,
         Some(ListFault::Broken) => {
-            let frames = [Ok(Frame::data(half)), Err(std::io::Error::other("it breaks off"))];
+            let frames = [Ok(Frame::data(half)), Err(std::io::Error::other("injected disconnect"))];
             StreamBody::new(futures_util::stream::iter(frames)).boxed()
         }
         Some(ListFault::Short) => Full::new(half).map_err(|never| match never {}).boxed(),
@@ -259,7 +264,7 @@
     Ok(Response::new(body))
 }
 
-/// The list that is asked for.
+/// Returns the full list or, with `since`, the changes after that version, waiting for some.
 async fn told(request: Request<hyper::body::Incoming>, state: &Mutex<State>, news: &Notify) -> Value {
     let query = request.uri().query().unwrap_or("");
     let field = |name: &str| -> Option<u64> {
@@ -301,6 +306,7 @@
     json!({"generation": told, "reset": false, "instances": changes})
 }
 
+/// Waits while the service is silent.
 async fn until_spoken(state: &Mutex<State>, news: &Notify) {
     loop {
         let notified = news.notified();
--- a/crates/standin/src/platform/mod.rs
+++ b/crates/standin/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's relay and discovery as the platform front meets them, with the troubles that tests ask for.
+//! The platform's relay and discovery as its clients see them, with injected faults.
 
 mod discovery;
 mod relay;
--- a/crates/standin/src/platform/relay.rs
+++ b/crates/standin/src/platform/relay.rs
@@ -1,4 +1,4 @@
-//! The relay: it holds the slices' lines, carries calls out, and tells its news to whoever asked for them.
+//! The relay: it stores the slices' lines, executes calls and sends notifications to subscribers.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -13,41 +13,42 @@
 use tokio::task::JoinSet;
 use tokio_util::codec::{Framed, LinesCodec};
 
-/// What goes wrong with one call.
+/// A fault of one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Carried out, and the answer never comes.
+    /// Executed, but never answered.
     Unanswered,
-    /// Not carried out, and no answer comes.
+    /// Neither executed nor answered.
     Lost,
-    /// Carried out, and the connection breaks before the answer.
+    /// Executed; the connection closes before the answer.
     Broken,
-    /// Carried out, and the connection ends in the middle of the answer.
+    /// Executed; the connection closes in the middle of the answer.
     Torn,
-    /// Carried out, and the connection is reset in the middle of the answer.
+    /// Executed; the connection is reset in the middle of the answer.
     Reset,
-    /// Carried out, and the answer comes a byte at a time.
+    /// Executed; the answer is written byte by byte.
     Dripped,
-    /// Carried out, and the answer's last byte comes with the end of the connection.
+    /// Executed and answered; then the connection closes at once.
     AndEnd,
-    /// Carried out, and the answer comes twice.
+    /// Executed; the answer is sent twice.
     Twice,
-    /// Carried out, and the answer waits for the test's word.
+    /// Executed; the answer waits for [`Relay::release`].
     Held,
-    /// Carried out, and the answer can't be read.
+    /// Executed; the answer is malformed.
     Spoilt,
-    /// Turned away.
+    /// Refused with a throttling error.
     Throttled,
 }
 
-/// News that a subscriber may lag behind; past that it is cut off.
+/// Maximum number of notifications queued for a subscriber; one that lags further is disconnected.
 const NEWS: usize = 4_096;
 
+/// The notification that a proxy's stream is up.
 fn joined(id: u64) -> String {
     news("SUBSCRIBE", json!({"id": id, "site": "a", "rps": 1.0, "new": false}))
 }
 
-/// A slice in the steward's charge as it is told, with its line if it has one.
+/// The notifications for a slice that is assigned to the steward: the assignment and the line, if there is one.
 fn given(range: u64, row: &Option<(String, f64)>) -> Vec<String> {
     let grant = news("GRANT", json!({"range": range, "flag": true}));
     let row =
@@ -55,51 +56,54 @@
     [grant].into_iter().chain(row).collect()
 }
 
-/// What is told to a subscriber.
+/// A message to a subscriber.
 #[derive(Debug)]
 enum News {
     Line(String),
-    /// The beginning of a line, and the end of the connection.
+    /// The first part of a line, after which the connection closes.
     Half(&'static str),
 }
 
-/// What the relay holds and has met.
+/// State of the relay, and counts of what it has received.
 #[derive(Default)]
 pub struct Said {
-    /// The owner and weight of each slice in the steward's charge.
+    /// The slices assigned to the steward, with the owner and weight of each that has a line.
     pub rows: BTreeMap<u64, Option<(String, f64)>>,
+    /// Proxies whose streams are up.
     pub proxies: Vec<u64>,
-    /// Orders carried out, in their order.
+    /// Orders executed, in order.
     pub orders: Vec<Value>,
+    /// Calls received, and subscriptions started.
     pub calls: usize,
     pub subscriptions: usize,
-    /// Proxies answer no marks for now.
+    /// Fault: proxies acknowledge no marks.
     pub mute: bool,
-    /// Nor does this one.
+    /// Fault: this proxy acknowledges no marks.
     pub slow: Option<u64>,
-    /// Classes that an order may name; any, where there are none.
+    /// Classes that an order may name; empty if any may be named.
     pub classes: Vec<String>,
-    /// Orders at which a call was stopped.
+    /// Number of orders that were refused, each ending its call.
     pub refused: usize,
-    /// The highest number of a call so far, and how many were read after a later one. The platform carries a call out within
-    /// 50 ms or never; where this stand-in has had to wait for its core for longer, such a call is never carried out.
+    /// The highest id of a call so far, and how many calls were read after a later one. The platform executes a call
+    /// within 50 ms or never. If this stand-in had to wait for its core for longer, such a call is never executed.
     latest_call: u64,
     pub calls_too_late: usize,
-    /// Slices that an order moved from one owner to another with no revoke between.
+    /// Slices that an order moved from one owner to another without a revoke in between: slice, old and new owner.
     pub moved_directly: Vec<(u64, String, String)>,
-    /// Subscriptions are told so many lines, and then the connection ends.
+    /// Fault: a subscription's connection closes after this number of lines.
     pub cut_after: Option<usize>,
-    /// Subscriptions are told nothing at all, and their connections stay open.
+    /// Fault: subscriptions receive nothing, and their connections stay open.
     pub silent_news: bool,
     faults: VecDeque<Fault>,
     readers: Vec<mpsc::Sender<News>>,
 }
 
+/// A relay at one address.
 pub struct Relay {
     pub address: SocketAddr,
     said: Arc<Mutex<Said>>,
     changed: Arc<Notify>,
-    /// One permit lets one answer go that is held.
+    /// Each permit releases one held answer.
     word: Arc<Semaphore>,
     _serving: JoinSet<()>,
 }
@@ -113,43 +117,44 @@
 }
 
 impl Said {
-    /// Tells all who read the news.
+    /// Sends a line to all subscribers.
     pub fn tell(&mut self, line: String) {
         self.readers.retain(|reader| reader.try_send(News::Line(line.clone())).is_ok());
     }
 
-    /// A proxy's stream comes up.
+    /// Brings up a proxy's stream and notifies the subscribers.
     pub fn join(&mut self, id: u64) {
         self.proxies.push(id);
         self.tell(joined(id));
     }
 
-    /// A proxy's stream breaks.
+    /// Breaks a proxy's stream and notifies the subscribers.
     pub fn leave(&mut self, id: u64) {
         self.proxies.retain(|proxy| *proxy != id);
         self.tell(news("CLOSED", json!({"id": id})));
     }
 
-    /// The store takes a slice out of the steward's charge, and returns its line.
+    /// Withdraws a slice from the steward; returns its line.
     pub fn take_slice(&mut self, range: u64) -> Option<(String, f64)> {
         let row = self.rows.remove(&range).flatten();
         self.tell(news("GRANT", json!({"range": range, "flag": false})));
         row
     }
 
-    /// The store puts a slice with this line into the steward's charge.
+    /// Assigns a slice with this line to the steward.
     pub fn give_slice(&mut self, range: u64, row: Option<(String, f64)>) {
         given(range, &row).into_iter().for_each(|line| self.tell(line));
         self.rows.insert(range, row);
     }
 
+    /// Returns the notifications that describe the current state.
     fn stands(&self) -> Vec<String> {
         let proxies = self.proxies.iter().map(|id| joined(*id));
         let slices = self.rows.iter().flat_map(|(range, row)| given(*range, row));
         proxies.chain(slices).collect()
     }
 
-    /// Returns how many were taken.
+    /// Executes orders up to the first that is refused; returns how many were executed.
     fn carry_out(&mut self, changes: &[Value]) -> usize {
         for (taken, order) in changes.iter().enumerate() {
             let known = |route: &Value| self.classes.iter().any(|class| route == class);
@@ -186,7 +191,7 @@
 }
 
 impl Relay {
-    /// Slices from 0 on are all in the steward's charge, with this owner.
+    /// Starts a relay whose slices, from 0 on, are all assigned to the steward and have this owner.
     pub async fn start(slices: u64, owner: &str, proxies: u64) -> std::io::Result<Relay> {
         let rows = (0..slices).map(|slice| (slice, Some((owner.to_owned(), 1.0)))).collect();
         let said = Said { rows, proxies: (0..proxies).collect(), ..Said::default() };
@@ -205,26 +210,27 @@
         Ok(Relay { address, said, changed, word, _serving: serving })
     }
 
-    /// The same store at another address.
+    /// Serves the same state at one more address.
     pub async fn also(&self) -> std::io::Result<Relay> {
         Relay::serving(self.said.clone(), self.changed.clone(), self.word.clone()).await
     }
 
-    /// These befall the next calls.
+    /// Injects a fault into each of the next calls.
     pub fn befall(&self, faults: &[Fault]) {
         locked(&self.said).faults.extend(faults);
     }
 
-    /// The test's word for one answer that is held.
+    /// Releases one held answer.
     pub fn release(&self) {
         self.word.add_permits(1);
     }
 
+    /// Accesses the relay's state.
     pub fn with<T>(&self, look: impl FnOnce(&mut Said) -> T) -> T {
         look(&mut locked(&self.said))
     }
 
-    /// Cuts off all who read the news, in the middle of a line.
+    /// Disconnects all subscribers in the middle of a line.
     pub fn cut(&self) {
         self.with(|said| {
             let half = || News::Half(r#"{"jsonrpc":"2.0","method":"AC"#);
@@ -232,7 +238,7 @@
         });
     }
 
-    /// Waits until it is so.
+    /// Waits until the condition holds.
     pub async fn until(&self, so: impl Fn(&Said) -> bool) {
         loop {
             let changed = self.changed.notified();
@@ -251,7 +257,7 @@
     }
 }
 
-/// Writes an answer as the fault has it. Returns whether the connection goes on.
+/// Writes an answer with the fault applied; returns false if the connection must close.
 async fn answer_by(
     fault: Option<Fault>,
     lines: &mut Framed<TcpStream, LinesCodec>,
@@ -296,7 +302,7 @@
             let mut said = locked(&said);
             said.calls += 1;
             let id = call["id"].as_u64().unwrap_or(0);
-            // A process that started again counts from 1.
+            // A restarted process counts its calls from 1.
             if id > 1 && id < said.latest_call {
                 said.calls_too_late += 1;
                 continue;
@@ -326,6 +332,7 @@
     }
 }
 
+/// Serves a subscription: the current state, then notifications and pings.
 async fn tell_news(
     mut lines: Framed<TcpStream, LinesCodec>,
     call: &Value,
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -1,4 +1,4 @@
-//! A plan server: cores with a speed, a queue, a cold start, and the ways in which it fails.
+//! A plan server: cores with a speed, a queue, a cold start, and injected faults.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -17,38 +17,41 @@
 use crate::wire::{status, tag, GREETING, MOST, REQ, RES};
 use crate::{duration, Capture, Event, Time, SECOND};
 
-/// What a plan server can do.
+/// The capacity of a plan server.
 #[derive(Clone, Debug)]
 pub struct Model {
     pub cores: usize,
-    /// Work that a core does in a second, in seconds.
+    /// Work in seconds of one core at speed 1 that a core does per second.
     pub speed: f64,
-    /// Reqs that may wait; one more is turned away.
+    /// Maximum number of waiting reqs; more are rejected.
     pub queue: usize,
+    /// Maximum number of connections; more are closed.
     pub connections: usize,
-    /// The share of its capacity with which it comes up, and how long until it has all of it.
+    /// The share of its capacity at start, and how long until it has full capacity.
     pub cold_from: f64,
     pub cold_for: Time,
-    /// Brought this multiple of what it can do over this time while cold, it falls over.
+    /// While cold it crashes if it receives this multiple of the work that it can do in this time.
     pub fall_multiple: f64,
     pub fall_for: Time,
 }
 
-/// How a server misbehaves for a while.
+/// Faults injected into a plan server.
 #[derive(Clone, Debug, Default)]
 pub struct Ills {
+    /// It neither reads nor answers.
     pub hung: bool,
-    /// The share of reqs (of one kind, where named) that fail.
+    /// The share of reqs that fail, of one kind if that is set.
     pub failing: f64,
     pub failing_kind: Option<u64>,
-    /// Failing reqs are never answered, instead of at once.
+    /// Failing reqs are never answered, instead of answered at once.
     pub silent: bool,
-    /// What it says of its load, whatever that is.
+    /// The utilisation that it reports, whatever the true one.
     pub says: Option<f64>,
-    /// How long a new connection takes until it is of use.
+    /// Delay before a new connection is usable.
     pub slow_connects: Time,
 }
 
+/// An accepted req.
 struct Job {
     req: u64,
     attempt: u64,
@@ -61,35 +64,38 @@
     its_try: u64,
 }
 
+/// A plan server. It keeps its address over restarts.
 pub struct Server {
     pub id: String,
     pub zone: String,
     pub address: SocketAddr,
     pub model: Model,
     capture: Capture,
-    /// When it last came up; 0: long ago.
+    /// When it last started; 0 if it was warm from the beginning.
     boot: Cell<Time>,
     up: Cell<bool>,
+    /// Crashed by overload; it isn't restarted.
     fallen: Cell<bool>,
     draining: Cell<bool>,
     ills: RefCell<Ills>,
     woken: Notify,
-    /// Which life of it jobs belong to.
+    /// Incremented when the server stops, so that jobs of an earlier incarnation are dropped.
     life: Cell<u64>,
     busy: Cell<usize>,
     connections: Cell<usize>,
     waiting: RefCell<VecDeque<Job>>,
-    /// Work brought lately: when, seconds.
+    /// Work received within `fall_for`: when, and seconds of it.
     brought: RefCell<VecDeque<(Time, f64)>>,
-    /// Seconds of busy cores up to a time, and the two at the last report.
+    /// Busy core seconds up to a time.
     used: Cell<(f64, Time)>,
+    /// Busy core seconds and time at the last utilisation sample, and that sample.
     reported: Cell<(f64, Time, f64)>,
     tasks: RefCell<Vec<AbortHandle>>,
     chance: RefCell<fastrand::Rng>,
 }
 
 impl Server {
-    /// A server that is up and warm. It keeps its address over all its lives.
+    /// Starts a server that is warm.
     pub async fn start(
         id: &str,
         zone: &str,
@@ -125,6 +131,7 @@
         Ok(server)
     }
 
+    /// Returns when it last started; 0 if it was warm from the beginning.
     pub fn boot(&self) -> Time {
         self.boot.get()
     }
@@ -133,7 +140,7 @@
         self.up.get()
     }
 
-    /// It finishes what it has and turns away what is new.
+    /// Finishes accepted reqs and rejects new ones.
     pub fn drain(&self) {
         self.draining.set(true);
     }
@@ -143,7 +150,7 @@
         self.woken.notify_waiters();
     }
 
-    /// It is gone at once, with all that it had in hand.
+    /// Stops at once, dropping all reqs and connections.
     pub fn die(&self) {
         if !self.up.replace(false) {
             return;
@@ -156,7 +163,7 @@
         self.capture.note(|at| Event::Down { at, server: self.id.clone() });
     }
 
-    /// It comes up again, cold.
+    /// Starts again, cold; does nothing if it is up or has crashed by overload.
     pub fn revive(self: &Rc<Server>) -> io::Result<()> {
         if self.up.get() || self.fallen.get() {
             return Ok(());
@@ -170,7 +177,7 @@
         Ok(())
     }
 
-    /// It was just switched on: cold, though it is the first time.
+    /// Becomes cold, without faults, as if it had just started.
     pub fn come_up(&self) {
         self.up.set(true);
         self.draining.set(false);
@@ -180,7 +187,7 @@
         self.capture.note(|at| Event::Up { at, server: self.id.clone(), cold: true });
     }
 
-    /// The share of its capacity that it has now.
+    /// Returns the share of its capacity that it has now.
     fn present(&self, now: Time) -> f64 {
         let model = &self.model;
         if self.boot.get() == 0 {
@@ -194,7 +201,7 @@
         let server = self.clone();
         let task = spawn_local(async move {
             while let Ok((socket, _)) = listener.accept().await {
-                // The smallest hosts accept so many connections; more are cut.
+                // Connections above the host's limit are closed.
                 if server.connections.get() < server.model.connections {
                     server.connections.set(server.connections.get() + 1);
                     let task = spawn_local(server.clone().connection(socket)).abort_handle();
@@ -306,7 +313,7 @@
         if self.pushed_over(now, job.work) {
             self.capture.note(|at| Event::Fell { at, server: self.id.clone(), boot: self.boot.get() });
             self.fallen.set(true);
-            // Dying ends this very task.
+            // Stopping aborts this task, so it is left to another.
             let server = self.clone();
             spawn_local(async move { server.die() });
             return Ok(());
@@ -316,7 +323,7 @@
         Ok(())
     }
 
-    /// Counts work that was brought: whether it is more than a cold server bears.
+    /// Counts received work; returns true if it is more than a cold server can take.
     fn pushed_over(&self, now: Time, work: f64) -> bool {
         let (model, present) = (&self.model, self.present(now));
         let mut brought = self.brought.borrow_mut();
@@ -342,7 +349,7 @@
             let seconds = job.work / (self.model.speed * self.present(now));
             let needs = (seconds * SECOND as f64) as Time;
             let (server, life) = (self.clone(), self.life.get());
-            // Work that can't be finished in time is cut then.
+            // Work that can't finish in time is cut off.
             let runs = needs.min(job.finish_by - now);
             spawn_local(async move {
                 tokio::time::sleep(duration(runs)).await;
@@ -353,7 +360,7 @@
                 let now = server.capture.now();
                 server.account(now);
                 server.busy.set(server.busy.get() - 1);
-                // Looked at again: it may have hung meanwhile.
+                // The time is checked again, as the server may have hung meanwhile.
                 server.end(&job, runs == needs && now <= job.finish_by);
                 server.work_on();
             });
@@ -367,14 +374,14 @@
         self.answer(job, if done { status::DONE } else { status::ERRORED });
     }
 
-    /// Adds what its cores did since it was last asked.
+    /// Adds the busy core seconds since the last call.
     fn account(&self, now: Time) {
         let (used, since) = self.used.get();
         let span = (now - since) as f64 / SECOND as f64;
         self.used.set((used + span * self.busy.get() as f64, now));
     }
 
-    /// How busy its cores were, told anew every half second.
+    /// Returns the utilisation of its cores, sampled every half second.
     fn util(&self, now: Time) -> f64 {
         self.account(now);
         let (used, at, said) = self.reported.get();
@@ -396,7 +403,7 @@
             .numbers(tag::UTIL, &[ravenspar_protocol::millionths(util)])
             .numbers(tag::NOW, &[now as u64])
             .finish();
-        // An answer that nobody reads is lost, as are those of a connection that is gone.
+        // The response is dropped if the connection has closed or its queue is full.
         let _ = job.answer.try_send(body);
     }
 }
--- a/crates/standin/src/store/memory.rs
+++ b/crates/standin/src/store/memory.rs
@@ -1,5 +1,5 @@
-//! The replicated log's state as a store of one process: one copy, no log, no disk. It shows that what is asked of a store
-//! is what `replicated` will keep, and it serves tests that need no sockets.
+//! The state machine of the replicated log as an in-process store: one copy, no log, no disk. It shows that the state
+//! machine meets the store's contract, which the `replicated` store relies on, and serves tests that need no sockets.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -11,6 +11,7 @@
 
 use crate::{Clock, Time, SECOND};
 
+/// An in-memory store; clones share its state.
 #[derive(Clone, Default)]
 pub struct Memory {
     inner: Arc<Mutex<(State, BTreeMap<u64, Time>)>>,
@@ -59,7 +60,7 @@
         Box::pin(async move { Ok(self.reads(ranges)) })
     }
 
-    /// It keeps no earlier revisions: pages behind the first are as they are now.
+    /// Earlier revisions aren't kept: later pages show the current state.
     fn page(&self, range: Range, limit: usize, revision: u64) -> BoxFuture<'_, Result<Page, Fault>> {
         Box::pin(async move {
             let read = self.reads(vec![range]);
@@ -87,7 +88,7 @@
                     let found = steps.into_iter().flat_map(row).next();
                     Ok(Committed::No { witness: found.map_or(0, |row| row.modified) })
                 }
-                Ok(Done::Lease(_)) => Err(Fault::Unknown("another answer than asked for".to_owned())),
+                Ok(Done::Lease(_)) => Err(Fault::Unknown("a lease in reply to a transaction".to_owned())),
                 Err(not) => Err(Fault::Refused(format!("{not:?}"))),
             }
         })
--- a/crates/standin/src/store/mod.rs
+++ b/crates/standin/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in for etcd: keys with revisions, leases and transactions as its public API says, and faults to inject.
+//! A stand-in for etcd: keys with revisions, leases, transactions and watches as in its public API, with injected faults.
 
 mod memory;
 mod mvcc;
--- a/crates/standin/src/store/mvcc.rs
+++ b/crates/standin/src/store/mvcc.rs
@@ -1,4 +1,4 @@
-//! Keys, revisions, leases and transactions. Pure: times are handed in.
+//! Keys, revisions, leases and transactions. Free of I/O: the caller passes the time.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -26,14 +26,15 @@
     revision: i64,
     keys: BTreeMap<Vec<u8>, KeyValue>,
     leases: BTreeMap<i64, Lease>,
-    /// When it was last asked for anything.
+    /// The time of the last call.
     now: Time,
-    /// What was done to keys, in order, since the compaction.
+    /// Changes of keys since the compaction, in order.
     log: VecDeque<Done>,
+    /// The revision up to which the log has been compacted.
     compacted: i64,
 }
 
-/// A key as it was before and after a revision.
+/// A key before and after a revision.
 #[derive(Clone, Debug)]
 struct Done {
     at: Time,
@@ -43,7 +44,7 @@
     after: Option<KeyValue>,
 }
 
-/// A change of a key, as a judge sees it.
+/// A change of a key as the lab's judges read it. `value` is `None` if the key was deleted.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Change {
     pub at: Time,
@@ -52,10 +53,10 @@
     pub value: Option<String>,
 }
 
-/// Changes kept at most; older ones are compacted.
+/// Maximum number of changes kept; older ones are compacted.
 const KEPT: usize = 200_000;
 
-/// Why a call is refused, in the API's words.
+/// Why a call is refused, after the API's errors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
     LeaseNotFound,
@@ -66,10 +67,10 @@
     DuplicateKey,
 }
 
-/// Operations of a transaction, as etcd takes them unless told otherwise (`--max-txn-ops`).
+/// Maximum number of operations in a transaction: etcd's default (`--max-txn-ops`).
 const MOST_OPS: usize = 128;
 
-/// Whether a key is in a range, as the API has ranges.
+/// Returns true if a key is in a range as the API defines it.
 fn inside(found: &[u8], key: &[u8], end: &[u8]) -> bool {
     match end {
         [] => found == key,
@@ -91,11 +92,12 @@
         }
     }
 
+    /// Returns the header of a response at the current revision.
     pub fn header(&self) -> ResponseHeader {
         ResponseHeader { cluster_id: self.cluster, member_id: 1, revision: self.revision, raft_term: 1 }
     }
 
-    /// Ends the leases that have run out: the keys of each go at one revision.
+    /// Revokes expired leases. The keys of each are deleted at one revision.
     pub fn expire(&mut self, now: Time) {
         self.now = now;
         let over: Vec<i64> =
@@ -103,6 +105,7 @@
         over.into_iter().for_each(|id| _ = self.revoke(id));
     }
 
+    /// Grants a lease and returns its id; id 0 lets the store choose one.
     pub fn grant(&mut self, now: Time, id: i64, seconds: i64) -> Result<i64, Refusal> {
         let id = if id == 0 { self.leases.keys().last().map_or(1, |last| last + 1) } else { id };
         if self.leases.contains_key(&id) {
@@ -113,6 +116,7 @@
         Ok(id)
     }
 
+    /// Ends a lease and deletes its keys at one revision.
     pub fn revoke(&mut self, id: i64) -> Result<(), Refusal> {
         self.leases.remove(&id).ok_or(Refusal::LeaseNotFound)?;
         let bound = self.keys.values().filter(|kv| kv.lease == id);
@@ -123,11 +127,12 @@
         Ok(())
     }
 
+    /// Returns the ids of all leases.
     pub fn leases(&self) -> Vec<i64> {
         self.leases.keys().copied().collect()
     }
 
-    /// The seconds that a renewed lease has; 0 where it is gone.
+    /// Renews a lease; returns its seconds, or 0 if it doesn't exist.
     pub fn renew(&mut self, now: Time, id: i64) -> i64 {
         let Some(lease) = self.leases.get_mut(&id) else { return 0 };
         lease.until = now + lease.seconds * SECOND;
@@ -147,7 +152,7 @@
         }
     }
 
-    /// Forgets what was before a revision.
+    /// Discards the history before a revision.
     pub fn compact(&mut self, revision: i64) -> Result<(), Refusal> {
         if revision <= self.compacted {
             return Err(Refusal::Compacted);
@@ -160,16 +165,17 @@
         Ok(())
     }
 
+    /// Returns the revision up to which the history has been compacted.
     pub fn compacted(&self) -> i64 {
         self.compacted
     }
 
-    /// All changes that are kept, in order: when, at which revision, which key, what it is since (none: it is gone).
+    /// Returns all changes that are kept, in order.
     pub fn changes(&self) -> Vec<Change> {
         self.changes_after(0)
     }
 
-    /// Those after a revision.
+    /// Returns the changes after a revision, in order.
     pub fn changes_after(&self, revision: i64) -> Vec<Change> {
         let change = |done: &Done| Change {
             at: done.at,
@@ -181,7 +187,7 @@
         self.log.range(from..).map(change).collect()
     }
 
-    /// What happened to keys in a range from a revision on, in order; none where that has been compacted.
+    /// Returns the events of a range from a revision on, in order; `None` if that revision has been compacted.
     pub fn events(&self, key: &[u8], end: &[u8], from: i64) -> Option<Vec<(i64, Event)>> {
         if from <= self.compacted {
             return None;
@@ -197,11 +203,11 @@
         Some(found.map(event).collect())
     }
 
-    /// Keys of a range as they were at a revision that is not the last.
+    /// Returns the keys of a range as they were at an earlier revision.
     fn past(&self, key: &[u8], end: &[u8], revision: i64) -> Vec<KeyValue> {
         let mut then: BTreeMap<&[u8], Option<&KeyValue>> =
             self.within(key, end).map(|kv| (kv.key.as_slice(), Some(kv))).collect();
-        // The first change after it says what was there before.
+        // The first change after the revision holds the key's state at it.
         let later = self.log.iter().filter(|done| done.revision > revision && inside(&done.key, key, end));
         for done in later.rev() {
             then.insert(&done.key, done.before.as_ref());
@@ -215,6 +221,7 @@
         from.take_while(move |(found, _)| inside(found, &key, &end)).map(|(_, kv)| kv)
     }
 
+    /// Reads a range, at an earlier revision if one is requested.
     pub fn range(&self, request: &RangeRequest) -> Result<RangeResponse, Refusal> {
         if request.revision > self.revision {
             return Err(Refusal::FutureRevision);
@@ -273,7 +280,7 @@
     fn holds(&self, compare: &Compare) -> bool {
         let none = KeyValue::default();
         let kv = self.keys.get(&compare.key);
-        // A key that is not there has no value to compare, and 0 for all else.
+        // A missing key has no value to compare, and 0 for everything else.
         let found = kv.unwrap_or(&none);
         let order = match (compare.target(), &compare.target_union) {
             (CompareTarget::Version, Some(TargetUnion::Version(n))) => found.version.cmp(n),
@@ -294,7 +301,7 @@
         }
     }
 
-    /// Why operations would be refused, which undoes a transaction whole.
+    /// Returns an error if any of the operations would be refused, in which case none of them is executed.
     fn refuses(&self, operations: &[RequestOp]) -> Result<(), Refusal> {
         let mut keys = BTreeSet::new();
         for operation in operations {
@@ -316,7 +323,7 @@
         Ok(())
     }
 
-    /// All of a transaction or, where it is refused, nothing of it. Its writes have one revision.
+    /// Executes a transaction in full or, if it is refused, not at all. Its writes share one revision.
     pub fn txn(&mut self, request: &TxnRequest) -> Result<TxnResponse, Refusal> {
         let sizes = [request.compare.len(), request.success.len(), request.failure.len()];
         if sizes.into_iter().any(|size| size > MOST_OPS) {
--- a/crates/standin/src/store/server.rs
+++ b/crates/standin/src/store/server.rs
@@ -1,4 +1,4 @@
-//! The stand-in on a socket.
+//! The stand-in's gRPC server.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -19,16 +19,16 @@
 use super::mvcc::{Mvcc, Refusal};
 use crate::Clock;
 
-/// What goes wrong from now on.
+/// Faults injected into the store.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// Nothing is carried out; callers hear that the store is away.
+    /// Nothing is executed; calls fail as unavailable.
     pub away: bool,
-    /// How long each call takes before it is carried out.
+    /// Delay before each call is executed.
     pub slow: Duration,
-    /// So many transactions and grants of leases are carried out, and their answers lost.
+    /// Number of transactions and lease grants that are executed but whose responses are lost.
     pub lose_answers: u32,
-    /// So many transactions are carried out only this long after their callers heard that nothing is known.
+    /// Number of transactions that are executed only after this delay, while their callers get an error at once.
     pub late: u32,
     pub late_by: Duration,
 }
@@ -40,7 +40,7 @@
 }
 
 impl Inner {
-    /// Sends an answer, unless it is one that is to be lost.
+    /// Returns the response, or an error if it is to be lost.
     fn answer<T>(&mut self, answer: T) -> Result<Response<T>, Status> {
         if self.faults.lose_answers == 0 {
             return Ok(Response::new(answer));
@@ -50,7 +50,7 @@
     }
 }
 
-/// A handle on the store, for tests and days; the sockets share it.
+/// The store; clones share its state.
 #[derive(Clone)]
 pub struct Store {
     inner: Arc<Mutex<Inner>>,
@@ -87,23 +87,24 @@
         self.lock().faults = faults;
     }
 
-    /// Calls that came in so far.
+    /// Returns the number of calls received.
     pub fn requests(&self) -> u64 {
         self.lock().requests
     }
 
-    /// The value of a key, and its revision.
+    /// Returns the value of a key and its revision.
     pub fn get(&self, key: &[u8]) -> Option<(Vec<u8>, i64)> {
         let range = RangeRequest { key: key.to_vec(), ..RangeRequest::default() };
         let found = self.lock().mvcc.range(&range).ok()?;
         found.kvs.into_iter().next().map(|kv| (kv.value, kv.mod_revision))
     }
 
-    /// All changes of keys so far.
+    /// Returns all changes of keys that are kept.
     pub fn changes(&self) -> Vec<super::Change> {
         self.lock().mvcc.changes()
     }
 
+    /// Returns the changes of keys after a revision.
     pub fn changes_after(&self, revision: i64) -> Vec<super::Change> {
         self.lock().mvcc.changes_after(revision)
     }
@@ -116,17 +117,17 @@
         self.clock.now()
     }
 
-    /// The leases that there are.
+    /// Returns the ids of all leases.
     pub fn leases(&self) -> Vec<i64> {
         self.lock().mvcc.leases()
     }
 
-    /// Loses a lease before its time.
+    /// Revokes a lease before it expires.
     pub fn lose_lease(&self, id: i64) {
         let _ = self.lock().mvcc.revoke(id);
     }
 
-    /// Writes a key.
+    /// Writes a key, without a lease.
     pub fn put_key(&self, key: &str, value: &str) {
         let put = PutRequest { key: key.into(), value: value.into(), lease: 0, prev_kv: false };
         self.write_key(Op::RequestPut(put));
@@ -141,14 +142,14 @@
         let _ = self.lock().mvcc.txn(&TxnRequest { success, ..TxnRequest::default() });
     }
 
-    /// Forgets what was before the present revision.
+    /// Discards the history before the current revision.
     pub fn compact_all(&self) {
         let mut inner = self.lock();
         let revision = inner.mvcc.header().revision;
         let _ = inner.mvcc.compact(revision);
     }
 
-    /// Forgets what was before a revision.
+    /// Discards the history before a revision; returns false if that is refused.
     pub fn compact(&self, revision: i64) -> bool {
         self.lock().mvcc.compact(revision).is_ok()
     }
@@ -161,7 +162,7 @@
             .add_service(KvServer::new(self.clone()))
             .add_service(LeaseServer::new(self.clone()))
             .add_service(WatchServer::new(self.clone()));
-        // Small answers that wait for the other side's acknowledgement would make each call take 40 ms.
+        // Without this, Nagle's algorithm and delayed acknowledgements would make each call take 40 ms.
         let incoming = TcpListenerStream::new(listener).map(|socket| {
             let socket = socket?;
             socket.set_nodelay(true)?;
@@ -171,7 +172,7 @@
         Ok(address)
     }
 
-    /// What every call meets first.
+    /// Counts a call and applies the faults that concern every call.
     pub(super) async fn enter(&self) -> Result<(), Status> {
         let (away, slow) = {
             let mut inner = self.lock();
@@ -185,7 +186,7 @@
         }
     }
 
-    /// One operation, as a transaction of its own.
+    /// Executes one operation as a transaction of its own.
     async fn one(&self, op: Op) -> Result<(Option<OpResponse>, ResponseHeader), Status> {
         self.enter().await?;
         let request = TxnRequest { success: vec![RequestOp { request: Some(op) }], ..TxnRequest::default() };
@@ -208,7 +209,7 @@
             (Some(OpResponse::ResponsePut(put)), header) => {
                 Ok(Response::new(PutResponse { header: Some(header), ..put }))
             }
-            _ => Err(Status::internal("another answer than asked for")),
+            _ => Err(Status::internal("unexpected response type")),
         }
     }
 
@@ -220,7 +221,7 @@
             (Some(OpResponse::ResponseDeleteRange(gone)), header) => {
                 Ok(Response::new(DeleteRangeResponse { header: Some(header), ..gone }))
             }
-            _ => Err(Status::internal("another answer than asked for")),
+            _ => Err(Status::internal("unexpected response type")),
         }
     }
 
--- a/crates/standin/src/store/watching.rs
+++ b/crates/standin/src/store/watching.rs
@@ -1,4 +1,4 @@
-//! The stand-in's watches.
+//! The stand-in's watch service.
 
 use std::pin::Pin;
 use std::time::Duration;
@@ -13,10 +13,10 @@
 
 use super::server::Store;
 
-/// Events in a fragment, where fragments are asked for.
+/// Maximum number of events in a fragment, if fragments are requested.
 const FRAGMENT: usize = 100;
 
-/// How often watches look for news.
+/// Interval at which watches poll for events.
 const LOOK: Duration = Duration::from_millis(5);
 
 #[tonic::async_trait]
@@ -36,7 +36,7 @@
 
 type Answers = mpsc::Sender<Result<WatchResponse, Status>>;
 
-/// One watch a stream is as many as are needed here.
+/// Serves a stream; supports one watch per stream, as clients here need no more.
 async fn watch(store: Store, mut requests: Streaming<WatchRequest>, answers: Answers) {
     let Ok(Some(first)) = requests.message().await else { return };
     let Some(RequestUnion::CreateRequest(create)) = first.request_union else { return };
@@ -89,16 +89,16 @@
     }
 }
 
-/// Says up to which revision all has been said.
+/// Sends a progress notification: the revision up to which all events have been sent.
 async fn progress(store: &Store, next: i64, answers: &Answers) -> bool {
     let mut header = store.lock().mvcc.header();
     header.revision = header.revision.min(next.max(1) - 1).max(0);
-    // The API's number for all watches of a stream.
+    // The API's id for all watches of a stream.
     let said = WatchResponse { header: Some(header), watch_id: -1, ..WatchResponse::default() };
     answers.send(Ok(said)).await.is_ok()
 }
 
-/// Sends what has happened; whether the watch goes on.
+/// Sends the events since the last call; returns false if the watch has ended.
 async fn tell(store: &Store, create: &WatchCreateRequest, next: &mut i64, answers: &Answers) -> bool {
     let (events, header, compacted) = {
         let inner = store.lock();
