--- a/crates/standin/src/agent.rs
+++ b/crates/standin/src/agent.rs
@@ -50,7 +50,7 @@
 pub(crate) struct Core {
     pub options: Options,
     pub clock: Clock,
-    pub chance: fastrand::Rng,
+    pub rng: fastrand::Rng,
     pub holder: Holder,
     pub disk: disk::Disk,
     /// Number of calls to the effects service.
@@ -58,13 +58,13 @@
     /// Index of the steward through which it renews its lease.
     pub current: usize,
     /// True once the lease of this incarnation has been renewed.
-    pub alive: bool,
+    pub renewed: bool,
     /// When this incarnation began.
     pub began: Time,
     /// When the last renewal was acknowledged or, failing that, when the incarnation began.
-    pub heard: Time,
+    pub acked_at: Time,
     /// Earlier incarnations of this site, whose leases have ended.
-    pub before: Vec<u64>,
+    pub earlier_incarnations: Vec<u64>,
     /// Usage of each run by token and job, and whether it is final. Kept until a steward acknowledges it.
     pub used: std::collections::BTreeMap<(u64, String), (Time, bool)>,
 }
@@ -72,81 +72,81 @@
 pub(crate) struct Agent {
     pub core: RefCell<Core>,
     /// Notified when there is something to send: an outcome or a new incarnation.
-    pub news: Notify,
+    pub send_due: Notify,
 }
 
 impl Core {
-    fn life(chance: &mut fastrand::Rng) -> u64 {
-        chance.u64(1..=i64::MAX as u64)
+    fn draw_incarnation(rng: &mut fastrand::Rng) -> u64 {
+        rng.u64(1..=i64::MAX as u64)
     }
 
     /// Starts a new incarnation if this one's lease has expired; returns true if it did.
-    pub fn look(&mut self) -> bool {
+    pub fn renew_incarnation_if_expired(&mut self) -> bool {
         let now = self.clock.now();
         // An incarnation without an acknowledged renewal may have had its lease granted and expired: after a whole lease
         // it isn't used again.
-        let over =
-            if self.alive { !self.holder.may_work(now) } else { now >= self.began + self.options.lease };
-        if over && !self.options.ignores_lease {
-            self.over();
+        let expired =
+            if self.renewed { !self.holder.may_work(now) } else { now >= self.began + self.options.lease };
+        if expired && !self.options.ignores_lease {
+            self.begin_incarnation();
         }
-        over && !self.options.ignores_lease
+        expired && !self.options.ignores_lease
     }
 
     /// Starts a new incarnation, as the lease has expired by the clock or a steward has reported it over.
-    pub fn over(&mut self) {
-        let next = Core::life(&mut self.chance);
-        self.before.push(self.holder.life());
+    pub fn begin_incarnation(&mut self) {
+        let next = Core::draw_incarnation(&mut self.rng);
+        self.earlier_incarnations.push(self.holder.life());
         // The leases of older ones have expired at the store.
-        if self.before.len() > 4 {
-            self.before.remove(0);
+        if self.earlier_incarnations.len() > 4 {
+            self.earlier_incarnations.remove(0);
         }
-        self.disk.life(next);
+        self.disk.incarnation(next);
         // Its runs notice that they no longer hold their jobs, and end.
         self.holder.over(next, self.options.lease, MARGIN);
-        (self.alive, self.began, self.heard) = (false, self.clock.now(), self.clock.now());
+        (self.renewed, self.began, self.acked_at) = (false, self.clock.now(), self.clock.now());
     }
 }
 
 /// Runs an agent until the process ends.
 pub async fn run(options: Options) -> std::io::Result<()> {
     let clock = Clock::default();
-    let mut chance =
+    let mut rng =
         fastrand::Rng::with_seed(options.seed ^ clock.now() as u64 ^ u64::from(std::process::id()) << 32);
-    let (disk, kept) = disk::Disk::open(&options.dir, options.forgets)?;
-    let life = Core::life(&mut chance);
-    let mut holder = Holder::new(life, options.lease, MARGIN, options.room);
-    holder.remember(kept.term);
+    let (disk, recovered) = disk::Disk::open(&options.dir, options.forgets)?;
+    let incarnation = Core::draw_incarnation(&mut rng);
+    let mut holder = Holder::new(incarnation, options.lease, MARGIN, options.room);
+    holder.remember(recovered.term);
     let mut core = Core {
         clock,
-        chance,
+        rng,
         holder,
         disk,
         calls: 0,
         current: 0,
-        alive: false,
+        renewed: false,
         began: clock.now(),
-        heard: clock.now(),
-        before: kept.lives,
-        used: kept.used,
+        acked_at: clock.now(),
+        earlier_incarnations: recovered.incarnations,
+        used: recovered.used,
         options,
     };
-    core.disk.life(life);
-    for (job, token, ended) in kept.outcomes {
+    core.disk.incarnation(incarnation);
+    for (job, token, ended) in recovered.outcomes {
         core.holder.keep(&job, token, ended);
     }
     let stewards = core.options.stewards.clone();
-    let agent = Rc::new(Agent { core: RefCell::new(core), news: Notify::new() });
+    let agent = Rc::new(Agent { core: RefCell::new(core), send_due: Notify::new() });
     for (number, address) in stewards.into_iter().enumerate() {
         tokio::task::spawn_local(streams::follow(agent.clone(), number, address));
     }
     // Checks its clock at intervals far below `MARGIN`.
-    let mut look = tokio::time::interval(std::time::Duration::from_millis(20));
+    let mut check = tokio::time::interval(std::time::Duration::from_millis(20));
     loop {
-        look.tick().await;
-        let over = agent.core.borrow_mut().look();
-        if over {
-            agent.news.notify_waiters();
+        check.tick().await;
+        let expired = agent.core.borrow_mut().renew_incarnation_if_expired();
+        if expired {
+            agent.send_due.notify_waiters();
         }
     }
 }
--- a/crates/standin/src/agent/runs.rs
+++ b/crates/standin/src/agent/runs.rs
@@ -33,9 +33,9 @@
 
 enum Stopped {
     /// Another site holds the job or the lease has expired. There is no outcome to deliver.
-    NotMine,
+    NotHeld,
     /// The effects service doesn't answer.
-    Away,
+    Unavailable,
 }
 
 pub(super) async fn run(agent: Rc<Agent>, job: String, token: u64, spec: String) {
@@ -44,8 +44,10 @@
         Err(why) => Ok(Ended::Failed(format!("it can't be read: {why}"))),
         Ok(spec) => loop {
             match steps(&agent, &job, token, &spec, began).await {
-                Err(Stopped::Away) if agent.holds(&job, token) => sleep(Duration::from_millis(100)).await,
-                Err(Stopped::Away) => break Err(Stopped::NotMine),
+                Err(Stopped::Unavailable) if agent.holds(&job, token) => {
+                    sleep(Duration::from_millis(100)).await
+                }
+                Err(Stopped::Unavailable) => break Err(Stopped::NotHeld),
                 ended => break ended,
             }
         },
@@ -67,7 +69,7 @@
         }
     }
     drop(core);
-    agent.news.notify_waiters();
+    agent.send_due.notify_waiters();
 }
 
 impl Agent {
@@ -83,7 +85,7 @@
 }
 
 /// Updates the usage of a run that goes on.
-fn uses(agent: &Agent, job: &str, token: u64, began: crate::Time) {
+fn update_usage(agent: &Agent, job: &str, token: u64, began: crate::Time) {
     let core = &mut *agent.core.borrow_mut();
     let used = (core.clock.now() - began) * core.options.lies as i64;
     core.used.insert((token, job.to_owned()), (used, false));
@@ -101,12 +103,12 @@
         (core.options.effects, core.options.name.clone())
     };
     let connecting = timeout(Duration::from_secs(2), TcpStream::connect(effects)).await;
-    let socket = connecting.ok().and_then(Result::ok).ok_or(Stopped::Away)?;
+    let socket = connecting.ok().and_then(Result::ok).ok_or(Stopped::Unavailable)?;
     let _ = socket.set_nodelay(true);
     let mut frames = Framed::new(socket, codec(MOST));
     let mut call = async |call: Call| -> Result<u64, Stopped> {
         if !agent.holds(job, token) {
-            return Err(Stopped::NotMine);
+            return Err(Stopped::NotHeld);
         }
         let pause = {
             let mut core = agent.core.borrow_mut();
@@ -118,12 +120,12 @@
             let _ = std::process::Command::new("kill").args(["-STOP", &own]).status();
         }
         let body = serde_json::to_vec(&call).unwrap_or_default();
-        frames.send(Bytes::from(body)).await.map_err(|_| Stopped::Away)?;
+        frames.send(Bytes::from(body)).await.map_err(|_| Stopped::Unavailable)?;
         let answer = timeout(Duration::from_secs(2), frames.next()).await;
-        let body = answer.ok().flatten().and_then(Result::ok).ok_or(Stopped::Away)?;
-        match serde_json::from_slice(&body).map_err(|_| Stopped::Away)? {
+        let body = answer.ok().flatten().and_then(Result::ok).ok_or(Stopped::Unavailable)?;
+        match serde_json::from_slice(&body).map_err(|_| Stopped::Unavailable)? {
             Answer::Landed(steps) => Ok(steps),
-            Answer::Refused(_) => Err(Stopped::NotMine),
+            Answer::Refused(_) => Err(Stopped::NotHeld),
         }
     };
     let open = Call::Open { site: site.clone(), job: job.to_owned(), token };
@@ -133,7 +135,7 @@
     }
     while landed < spec.steps {
         sleep(Duration::from_millis(spec.step_ms)).await;
-        uses(agent, job, token, began);
+        update_usage(agent, job, token, began);
         let step = Call::Step { site: site.clone(), job: job.to_owned(), token, step: landed };
         landed = call(step).await?;
     }
--- a/crates/standin/src/clients.rs
+++ b/crates/standin/src/clients.rs
@@ -13,7 +13,7 @@
 use tokio::task::spawn_local;
 use tokio_util::codec::{FramedRead, FramedWrite};
 
-use crate::wire::{status, tag, MOST, REQ, RES};
+use crate::wire::{status, tag, MAX_FRAME_BYTES, REQ, RES};
 use crate::{duration, Capture, Event, Time, SECOND};
 
 /// The load of one request kind.
@@ -48,8 +48,8 @@
     capture: Capture,
     /// Multiplier of the rate, for an overload.
     pub times: Cell<f64>,
-    doors: Vec<Rc<Door>>,
-    chance: RefCell<fastrand::Rng>,
+    connections: Vec<Rc<Connection>>,
+    rng: RefCell<fastrand::Rng>,
     /// Cumulative weights of the keys.
     keys: Vec<f64>,
     next: Cell<u64>,
@@ -58,7 +58,7 @@
 }
 
 /// A connection to one forwarder, reopened after it breaks.
-struct Door {
+struct Connection {
     /// The forwarder's address, which changes when it restarts.
     address: Cell<Option<SocketAddr>>,
     frames: RefCell<Option<mpsc::Sender<Bytes>>>,
@@ -72,7 +72,7 @@
         let mut sum = 0.0;
         let weights = (1..=load.keys).map(|n| (n as f64).powf(-load.skew));
         let keys = weights.map(|weight| (sum += weight, sum).1).collect();
-        let door = || Door {
+        let connection = || Connection {
             address: Cell::new(None),
             frames: RefCell::new(None),
             pending: RefCell::default(),
@@ -80,11 +80,11 @@
             tries: Cell::new(0),
         };
         Rc::new(Clients {
-            chance: RefCell::new(fastrand::Rng::with_seed(load.seed)),
+            rng: RefCell::new(fastrand::Rng::with_seed(load.seed)),
             load,
             capture,
             times: Cell::new(1.0),
-            doors: (0..forwarders).map(|_| Rc::new(door())).collect(),
+            connections: (0..forwarders).map(|_| Rc::new(connection())).collect(),
             keys,
             next: Cell::new(0),
             probes: Cell::new(0),
@@ -94,9 +94,9 @@
 
     /// Sets the address of a forwarder and drops the connection to its old one.
     pub fn forwarder_at(&self, number: usize, address: SocketAddr) {
-        let door = &self.doors[number];
-        door.address.set(Some(address));
-        door.frames.borrow_mut().take();
+        let connection = &self.connections[number];
+        connection.address.set(Some(address));
+        connection.frames.borrow_mut().take();
     }
 
     /// Returns the number of reqs without a final response.
@@ -105,10 +105,10 @@
     }
 
     /// Returns true if a forwarder gets a req of this slice done. Probes aren't counted as load and take no work.
-    pub async fn probe(&self, door: usize, slice: u64, kind: usize) -> bool {
-        let door = &self.doors[door];
-        let number = door.tries.get() + 1;
-        door.tries.set(number);
+    pub async fn probe(&self, forwarder: usize, slice: u64, kind: usize) -> bool {
+        let connection = &self.connections[forwarder];
+        let number = connection.tries.get() + 1;
+        connection.tries.set(number);
         // Ids of reqs count up from 0, those of probes down from the maximum.
         self.probes.set(self.probes.get() + 1);
         let body = Frame::new(REQ)
@@ -117,9 +117,9 @@
             .numbers(tag::KIND, &[kind as u64])
             .numbers(tag::KEY, &[slice])
             .numbers(tag::WORK, &[0])
-            .numbers(tag::WAITS, &[SECOND as u64])
+            .numbers(tag::TIMEOUT, &[SECOND as u64])
             .finish();
-        let Some(answer) = door.send(number, body).await else { return false };
+        let Some(answer) = connection.send(number, body).await else { return false };
         let answer = tokio::time::timeout(duration(SECOND), answer).await;
         matches!(answer, Ok(Ok(status::DONE)))
     }
@@ -129,31 +129,31 @@
         let mut at = self.capture.now();
         loop {
             let gap = {
-                let drawn = self.chance.borrow_mut().f64();
-                -(1.0 - drawn).ln() / (self.load.rate * self.times.get())
+                let sample = self.rng.borrow_mut().f64();
+                -(1.0 - sample).ln() / (self.load.rate * self.times.get())
             };
             at += (gap * SECOND as f64) as Time;
             if at >= until {
                 return;
             }
             tokio::time::sleep(duration(at - self.capture.now())).await;
-            self.ask();
+            self.start_req();
         }
     }
 
-    fn ask(self: &Rc<Clients>) {
-        let (kind, key, work, door) = {
-            let mut chance = self.chance.borrow_mut();
-            let mut drawn = chance.f64() * self.load.kinds.iter().map(|kind| kind.share).sum::<f64>();
+    fn start_req(self: &Rc<Clients>) {
+        let (kind, key, work, forwarder) = {
+            let mut rng = self.rng.borrow_mut();
+            let mut sample = rng.f64() * self.load.kinds.iter().map(|kind| kind.share).sum::<f64>();
             let kind = self.load.kinds.iter().position(|kind| {
-                drawn -= kind.share;
-                drawn < 0.0
+                sample -= kind.share;
+                sample < 0.0
             });
             let kind = kind.unwrap_or(0);
-            let key = chance.f64() * self.keys.last().copied().unwrap_or(0.0);
+            let key = rng.f64() * self.keys.last().copied().unwrap_or(0.0);
             let key = self.keys.partition_point(|&sum| sum < key) as u64;
-            let work = self.load.kinds[kind].work * (0.5 - 0.5 * (1.0 - chance.f64()).ln());
-            (kind, key, work, chance.usize(0..self.doors.len()))
+            let work = self.load.kinds[kind].work * (0.5 - 0.5 * (1.0 - rng.f64()).ln());
+            (kind, key, work, rng.usize(0..self.connections.len()))
         };
         let req = self.next.get();
         self.next.set(req + 1);
@@ -162,14 +162,22 @@
         let clients = self.clone();
         spawn_local(async move {
             let began = clients.capture.now();
-            let status = clients.tries(req, kind, key, work, door, began).await;
+            let status = clients.run_tries(req, kind, key, work, forwarder, began).await;
             clients.capture.note(|at| Event::Answered { at, req, kind, status, took: at - began });
             clients.open.set(clients.open.get() - 1);
         });
     }
 
     /// Sends the first try and the retries, all within the client timeout; returns the final status.
-    async fn tries(&self, req: u64, kind: usize, key: u64, work: f64, door: usize, began: Time) -> u64 {
+    async fn run_tries(
+        &self,
+        req: u64,
+        kind: usize,
+        key: u64,
+        work: f64,
+        forwarder: usize,
+        began: Time,
+    ) -> u64 {
         let own = &self.load.kinds[kind];
         let mut last = status::ERRORED;
         for attempt in 0..=self.load.retries {
@@ -178,18 +186,18 @@
                 break;
             }
             // Each retry goes to the next forwarder.
-            let door = &self.doors[(door + attempt as usize) % self.doors.len()];
-            let number = door.tries.get() + 1;
-            door.tries.set(number);
+            let connection = &self.connections[(forwarder + attempt as usize) % self.connections.len()];
+            let number = connection.tries.get() + 1;
+            connection.tries.set(number);
             let body = Frame::new(REQ)
                 .numbers(tag::ID, &[req, attempt])
                 .numbers(tag::TRY, &[number])
                 .numbers(tag::KIND, &[kind as u64])
                 .numbers(tag::KEY, &[key])
                 .numbers(tag::WORK, &[ravenspar_protocol::millionths(work)])
-                .numbers(tag::WAITS, &[left as u64])
+                .numbers(tag::TIMEOUT, &[left as u64])
                 .finish();
-            let sent = tokio::time::timeout(duration(left), door.send(number, body)).await;
+            let sent = tokio::time::timeout(duration(left), connection.send(number, body)).await;
             last = match sent {
                 Ok(Some(answer)) => {
                     let left = began + own.client_timeout - self.capture.now();
@@ -211,9 +219,9 @@
     }
 }
 
-impl Door {
+impl Connection {
     /// Sends a try to the forwarder; returns `None` if it can't be connected to.
-    async fn send(self: &Rc<Door>, number: u64, body: Bytes) -> Option<oneshot::Receiver<u64>> {
+    async fn send(self: &Rc<Connection>, number: u64, body: Bytes) -> Option<oneshot::Receiver<u64>> {
         if self.frames.borrow().is_none() {
             self.connect().await?;
         }
@@ -227,7 +235,7 @@
         Some(answered)
     }
 
-    async fn connect(self: &Rc<Door>) -> Option<()> {
+    async fn connect(self: &Rc<Connection>) -> Option<()> {
         while self.connecting.get() {
             tokio::time::sleep(std::time::Duration::from_millis(5)).await;
         }
@@ -244,26 +252,26 @@
         let (frames, mut queue) = mpsc::channel::<Bytes>(4096);
         *self.frames.borrow_mut() = Some(frames);
         spawn_local(async move {
-            let mut frames = FramedWrite::new(write, codec(MOST));
+            let mut frames = FramedWrite::new(write, codec(MAX_FRAME_BYTES));
             while let Some(body) = queue.recv().await {
                 if frames.send(body).await.is_err() {
                     return;
                 }
             }
         });
-        let door = self.clone();
+        let connection = self.clone();
         spawn_local(async move {
-            let mut frames = FramedRead::new(read, codec(MOST));
+            let mut frames = FramedRead::new(read, codec(MAX_FRAME_BYTES));
             while let Some(Ok(body)) = frames.next().await {
                 if let Some((number, status)) = read_answer(&body) {
-                    if let Some(waiting) = door.pending.borrow_mut().remove(&number) {
-                        let _ = waiting.send(status);
+                    if let Some(waiter) = connection.pending.borrow_mut().remove(&number) {
+                        let _ = waiter.send(status);
                     }
                 }
             }
             // Dropping the senders fails the pending tries.
-            door.frames.borrow_mut().take();
-            door.pending.borrow_mut().clear();
+            connection.frames.borrow_mut().take();
+            connection.pending.borrow_mut().clear();
         });
         Some(())
     }
--- a/crates/standin/src/forwarder/mod.rs
+++ b/crates/standin/src/forwarder/mod.rs
@@ -19,7 +19,7 @@
 use tokio::task::spawn_local;
 use tokio_util::codec::{FramedRead, FramedWrite};
 
-use crate::wire::{status, tag, MOST, REQ, RES};
+use crate::wire::{status, tag, MAX_FRAME_BYTES, REQ, RES};
 use crate::{duration, Clock, Time};
 
 pub use table::Table;
@@ -48,7 +48,7 @@
 
 /// Observations of one server since the last report.
 #[derive(Clone, Debug, Default)]
-struct Met {
+struct ServerStats {
     tries: u64,
     failed: u64,
     took: Time,
@@ -58,12 +58,12 @@
 struct Core {
     options: Options,
     clock: Clock,
-    chance: fastrand::Rng,
+    rng: fastrand::Rng,
     table: Table,
     pool: BTreeMap<SocketAddr, Rc<pool::Line>>,
     away: BTreeMap<SocketAddr, (u32, Time)>,
     /// Observations by steward and that steward's number for the server.
-    met: BTreeMap<(usize, u64), Met>,
+    server_stats: BTreeMap<(usize, u64), ServerStats>,
     /// Number of arrivals by slice and request kind.
     arrived: BTreeMap<(u64, u64), u64>,
     writes: u64,
@@ -82,13 +82,13 @@
     listening(listener.local_addr()?);
     let forwarder = Rc::new(Forwarder {
         core: RefCell::new(Core {
-            chance: fastrand::Rng::with_seed(options.seed),
+            rng: fastrand::Rng::with_seed(options.seed),
             table: Table::new(options.stewards.len(), options.ignores_terms),
             options,
             clock: Clock::default(),
             pool: BTreeMap::new(),
             away: BTreeMap::new(),
-            met: BTreeMap::new(),
+            server_stats: BTreeMap::new(),
             arrived: BTreeMap::new(),
             writes: 0,
         }),
@@ -107,21 +107,21 @@
     let (read, write) = socket.into_split();
     let (answers, mut queue) = mpsc::channel::<Bytes>(1024);
     spawn_local(async move {
-        let mut frames = FramedWrite::new(write, codec(MOST));
+        let mut frames = FramedWrite::new(write, codec(MAX_FRAME_BYTES));
         while let Some(body) = queue.recv().await {
             if frames.send(body).await.is_err() {
                 return;
             }
         }
     });
-    let mut frames = FramedRead::new(read, codec(MOST));
+    let mut frames = FramedRead::new(read, codec(MAX_FRAME_BYTES));
     while let Some(Ok(body)) = frames.next().await {
         if let Some(req) = Req::read(&body) {
             let (forwarder, answers) = (forwarder.clone(), answers.clone());
             spawn_local(async move {
                 let status = forwarder.serve(&req).await;
                 let body = Frame::new(RES)
-                    .numbers(tag::TRY, &[req.its_try])
+                    .numbers(tag::TRY, &[req.try_number])
                     .numbers(tag::STATUS, &[status])
                     .finish();
                 let _ = answers.send(body).await;
@@ -134,25 +134,25 @@
 struct Req {
     id: u64,
     attempt: u64,
-    its_try: u64,
+    try_number: u64,
     kind: u64,
     key: u64,
     work: u64,
-    waits: Time,
+    timeout: Time,
 }
 
 impl Req {
     fn read(body: &[u8]) -> Option<Req> {
         let mut body = Body::new(body).ok().filter(|body| body.kind() == REQ)?;
-        let mut req = Req { id: 0, attempt: 0, its_try: 0, kind: 0, key: 0, work: 0, waits: 0 };
+        let mut req = Req { id: 0, attempt: 0, try_number: 0, kind: 0, key: 0, work: 0, timeout: 0 };
         while let Some((tag, mut field)) = body.field().ok()? {
             match tag {
                 tag::ID => (req.id, req.attempt) = (field.number().ok()?, field.number().ok()?),
-                tag::TRY => req.its_try = field.number().ok()?,
+                tag::TRY => req.try_number = field.number().ok()?,
                 tag::KIND => req.kind = field.number().ok()?,
                 tag::KEY => req.key = field.number().ok()?,
                 tag::WORK => req.work = field.number().ok()?,
-                tag::WAITS => req.waits = field.time().ok()?,
+                tag::TIMEOUT => req.timeout = field.time().ok()?,
                 _ => {}
             }
         }
@@ -162,7 +162,7 @@
 
 impl Forwarder {
     async fn serve(&self, req: &Req) -> u64 {
-        let taken = self.core.borrow().clock.now();
+        let accepted_at = self.core.borrow().clock.now();
         let slice = {
             let mut core = self.core.borrow_mut();
             let slice = core.table.slice(req.key);
@@ -182,14 +182,14 @@
                 Pick::Wait => {
                     // The req is held while the slice has no server, for at most `hold`.
                     let now = self.core.borrow().clock.now();
-                    if tokio::time::timeout(duration(taken + hold - now), changed).await.is_err() {
+                    if tokio::time::timeout(duration(accepted_at + hold - now), changed).await.is_err() {
                         return status::DENIED;
                     }
                 }
                 Pick::Server(line) => {
                     drop(changed);
                     let Some(slice) = slice else { return status::DENIED };
-                    if let Some(status) = self.send(req, slice, &line, taken).await {
+                    if let Some(status) = self.send(req, slice, &line, accepted_at).await {
                         return status;
                     }
                 }
@@ -198,12 +198,12 @@
     }
 
     /// Sends a try and returns its status; `None` if the pick is no longer valid once connected.
-    async fn send(&self, req: &Req, slice: u64, line: &Rc<pool::Line>, taken: Time) -> Option<u64> {
-        let left = duration(taken + req.waits - self.core.borrow().clock.now());
+    async fn send(&self, req: &Req, slice: u64, line: &Rc<pool::Line>, accepted_at: Time) -> Option<u64> {
+        let left = duration(accepted_at + req.timeout - self.core.borrow().clock.now());
         let ready = tokio::time::timeout(left, pool::ready(self, line)).await;
         let began = self.core.borrow().clock.now();
         let Ok(Ok(())) = ready else {
-            self.learn(slice, line.address, began, false, None);
+            self.record_result(slice, line.address, began, false, None);
             return Some(status::ERRORED).filter(|_| ready.is_err()).or(Some(status::FULL));
         };
         let writes = {
@@ -215,20 +215,20 @@
         };
         let left = {
             let core = self.core.borrow();
-            duration(taken + req.waits - core.clock.now())
+            duration(accepted_at + req.timeout - core.clock.now())
         };
         if writes {
-            self.stop_here();
+            self.stop_at_write();
         }
         let answer = {
             let core = self.core.borrow();
             // The lease's end goes along as the latest start: the plan server refuses a write that is delayed past it.
-            let start_by = if writes { core.table.lease_until(slice) } else { taken + req.waits };
-            let finish_by = if writes { taken + core.table.settle } else { taken + req.waits };
+            let start_by = if writes { core.table.lease_until(slice) } else { accepted_at + req.timeout };
+            let finish_by = if writes { accepted_at + core.table.settle } else { accepted_at + req.timeout };
             line.send(&core, req, slice, writes, start_by, finish_by)
         };
         let Some(answer) = answer else {
-            self.learn(slice, line.address, began, false, None);
+            self.record_result(slice, line.address, began, false, None);
             return Some(status::FULL);
         };
         let answer = tokio::time::timeout(left, answer).await;
@@ -236,23 +236,23 @@
             Ok(Ok((status, util))) => (status, Some(util)),
             _ => (status::ERRORED, None),
         };
-        self.learn(slice, line.address, began, status == status::DONE, util);
+        self.record_result(slice, line.address, began, status == status::DONE, util);
         Some(status)
     }
 
     /// Records the result of a try. It is reported to the steward that the slice is assigned to if that still has the slice
     /// at this server.
-    fn learn(&self, slice: u64, address: SocketAddr, began: Time, good: bool, util: Option<f64>) {
+    fn record_result(&self, slice: u64, address: SocketAddr, began: Time, good: bool, util: Option<f64>) {
         let mut core = self.core.borrow_mut();
         let core = &mut *core;
         let now = core.clock.now();
         let owner = core.table.owner(slice).filter(|(_, now)| *now == address);
         if let Some(server) = owner.and_then(|(server, _)| server) {
-            let met = core.met.entry((core.table.steward(slice), server)).or_default();
-            met.tries += 1;
-            met.util = util.or(met.util);
-            met.took += if good { now - began } else { 0 };
-            met.failed += u64::from(!good);
+            let server_stats = core.server_stats.entry((core.table.steward(slice), server)).or_default();
+            server_stats.tries += 1;
+            server_stats.util = util.or(server_stats.util);
+            server_stats.took += if good { now - began } else { 0 };
+            server_stats.failed += u64::from(!good);
         }
         let (failures, until) = core.away.entry(address).or_insert((0, Time::MIN));
         if good {
@@ -266,7 +266,7 @@
     }
 
     /// Stops the process if this is the write at which it is to stop, between the pick and the send.
-    fn stop_here(&self) {
+    fn stop_at_write(&self) {
         let stop = {
             let mut core = self.core.borrow_mut();
             core.writes += 1;
@@ -291,7 +291,7 @@
         let now = self.clock.now();
         let Some(slice) = slice else { return Pick::Wait };
         let level = self.table.level(slice, req.kind);
-        if level < 1.0 && (level <= 0.0 || self.share_of(req) >= level) {
+        if level < 1.0 && (level <= 0.0 || self.hash_fraction(req) >= level) {
             return Pick::Denied;
         }
         let Some((server, address)) = self.table.owner(slice) else { return Pick::Wait };
@@ -308,7 +308,7 @@
     }
 
     /// Maps a req to a number between 0 and 1 by a hash of its id, so that its retries are denied as well.
-    fn share_of(&self, req: &Req) -> f64 {
+    fn hash_fraction(&self, req: &Req) -> f64 {
         let mixed = (req.id ^ self.options.seed).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         (mixed >> 11) as f64 / (1u64 << 53) as f64
     }
--- a/crates/standin/src/forwarder/pool.rs
+++ b/crates/standin/src/forwarder/pool.rs
@@ -14,7 +14,7 @@
 use tokio_util::codec::{FramedRead, FramedWrite};
 
 use super::{Core, Forwarder, Req};
-use crate::wire::{status, tag, GREETING, MOST, REQ, RES};
+use crate::wire::{status, tag, GREETING, MAX_FRAME_BYTES, REQ, RES};
 use crate::{duration, Clock, Time};
 
 /// Timeout for a connection to open and deliver the server's greeting.
@@ -28,7 +28,7 @@
     pub address: SocketAddr,
     open: RefCell<Option<Open>>,
     connecting: Cell<bool>,
-    settled: Notify,
+    connect_done: Notify,
     tries: Cell<u64>,
 }
 
@@ -37,7 +37,7 @@
     frames: mpsc::Sender<(u64, Bytes, Time)>,
     pending: BTreeMap<u64, oneshot::Sender<Answer>>,
     /// The server's clock as last received, and the local clock at that moment.
-    heard: (Time, Time),
+    clock_sample: (Time, Time),
 }
 
 impl Line {
@@ -46,7 +46,7 @@
             address,
             open: RefCell::new(None),
             connecting: Cell::new(false),
-            settled: Notify::new(),
+            connect_done: Notify::new(),
             tries: Cell::new(0),
         }
     }
@@ -63,14 +63,14 @@
     ) -> Option<oneshot::Receiver<Answer>> {
         let mut open = self.open.borrow_mut();
         let open = open.as_mut()?;
-        let its_try = self.tries.get() + 1;
-        self.tries.set(its_try);
+        let try_number = self.tries.get() + 1;
+        self.tries.set(try_number);
         // The server read its clock before the local clock was read, so a converted time is never later than intended.
-        let (theirs, ours) = open.heard;
-        let at_server = |time: Time| (theirs + (time - ours)).max(0) as u64;
+        let (server_time, local_time) = open.clock_sample;
+        let at_server = |time: Time| (server_time + (time - local_time)).max(0) as u64;
         let body = Frame::new(REQ)
             .numbers(tag::ID, &[req.id, req.attempt])
-            .numbers(tag::TRY, &[its_try])
+            .numbers(tag::TRY, &[try_number])
             .numbers(tag::KIND, &[req.kind])
             .numbers(tag::WORK, &[req.work])
             .numbers(tag::SLICE, &[slice])
@@ -80,15 +80,15 @@
             .numbers(tag::FINISH_BY, &[at_server(finish_by)])
             .finish();
         let (answer, answered) = oneshot::channel();
-        open.frames.try_send((its_try, body, start_by)).ok()?;
-        open.pending.insert(its_try, answer);
+        open.frames.try_send((try_number, body, start_by)).ok()?;
+        open.pending.insert(try_number, answer);
         Some(answered)
     }
 
-    fn answered(&self, its_try: u64, answer: Answer) {
+    fn answered(&self, try_number: u64, answer: Answer) {
         if let Some(open) = self.open.borrow_mut().as_mut() {
-            if let Some(waiting) = open.pending.remove(&its_try) {
-                let _ = waiting.send(answer);
+            if let Some(waiter) = open.pending.remove(&try_number) {
+                let _ = waiter.send(answer);
             }
         }
     }
@@ -104,11 +104,11 @@
         spawn_local(connect(clock, line.clone()));
     }
     loop {
-        let settled = line.settled.notified();
+        let connect_done = line.connect_done.notified();
         if !line.connecting.get() {
             return if line.open.borrow().is_some() { Ok(()) } else { Err(()) };
         }
-        settled.await;
+        connect_done.await;
     }
 }
 
@@ -117,31 +117,32 @@
         let socket = TcpStream::connect(line.address).await.ok()?;
         let _ = socket.set_nodelay(true);
         let (read, write) = socket.into_split();
-        let mut read = FramedRead::new(read, codec(MOST));
+        let mut read = FramedRead::new(read, codec(MAX_FRAME_BYTES));
         let greeting = read.next().await?.ok()?;
         let mut body = Body::new(&greeting).ok().filter(|body| body.kind() == GREETING)?;
-        let mut theirs = 0;
+        let mut server_time = 0;
         while let Some((tag, mut field)) = body.field().ok()? {
             if tag == tag::NOW {
-                theirs = field.time().ok()?;
+                server_time = field.time().ok()?;
             }
         }
-        Some((read, write, theirs))
+        Some((read, write, server_time))
     };
     let opened = tokio::time::timeout(duration(CONNECT), opening).await.ok().flatten();
     line.connecting.set(false);
-    let Some((mut read, write, theirs)) = opened else {
-        return line.settled.notify_waiters();
+    let Some((mut read, write, server_time)) = opened else {
+        return line.connect_done.notify_waiters();
     };
     let (frames, mut queue) = mpsc::channel::<(u64, Bytes, Time)>(1024);
-    *line.open.borrow_mut() = Some(Open { frames, pending: BTreeMap::new(), heard: (theirs, clock.now()) });
-    line.settled.notify_waiters();
+    *line.open.borrow_mut() =
+        Some(Open { frames, pending: BTreeMap::new(), clock_sample: (server_time, clock.now()) });
+    line.connect_done.notify_waiters();
     let writer = async {
-        let mut frames = FramedWrite::new(write, codec(MOST));
-        while let Some((its_try, body, start_by)) = queue.recv().await {
+        let mut frames = FramedWrite::new(write, codec(MAX_FRAME_BYTES));
+        while let Some((try_number, body, start_by)) = queue.recv().await {
             // Checked again right before it is sent.
             if clock.now() >= start_by {
-                line.answered(its_try, (status::LATE, 0.0));
+                line.answered(try_number, (status::LATE, 0.0));
             } else if frames.send(body).await.is_err() {
                 return;
             }
@@ -149,11 +150,11 @@
     };
     let reader = async {
         while let Some(Ok(body)) = read.next().await {
-            let Some((its_try, answer, theirs)) = read_answer(&body) else { continue };
+            let Some((try_number, answer, server_time)) = read_answer(&body) else { continue };
             if let Some(open) = line.open.borrow_mut().as_mut() {
-                open.heard = (theirs, clock.now());
+                open.clock_sample = (server_time, clock.now());
             }
-            line.answered(its_try, answer);
+            line.answered(try_number, answer);
         }
     };
     tokio::select! {
@@ -166,15 +167,15 @@
 
 fn read_answer(body: &[u8]) -> Option<(u64, Answer, Time)> {
     let mut body = Body::new(body).ok().filter(|body| body.kind() == RES)?;
-    let (mut its_try, mut status, mut util, mut now) = (0, status::ERRORED, 0.0, 0);
+    let (mut try_number, mut status, mut util, mut now) = (0, status::ERRORED, 0.0, 0);
     while let Some((tag, mut field)) = body.field().ok()? {
         match tag {
-            tag::TRY => its_try = field.number().ok()?,
+            tag::TRY => try_number = field.number().ok()?,
             tag::STATUS => status = field.number().ok()?,
             tag::UTIL => util = field.fraction().ok()?,
             tag::NOW => now = field.time().ok()?,
             _ => {}
         }
     }
-    Some((its_try, (status, util), now))
+    Some((try_number, (status, util), now))
 }
--- a/crates/standin/src/forwarder/stream.rs
+++ b/crates/standin/src/forwarder/stream.rs
@@ -12,8 +12,8 @@
 use tokio::time::{interval, sleep, timeout, Instant};
 use tokio_util::codec::{FramedRead, FramedWrite};
 
-use super::table::Reading;
-use super::{Forwarder, Met};
+use super::table::PartialTable;
+use super::{Forwarder, ServerStats};
 use crate::{duration, Time};
 
 /// Keeps a stream to each steward, reconnecting forever. A steward's table stays in use while it is unreachable.
@@ -21,7 +21,7 @@
     let (stewards, boot) = {
         let mut core = forwarder.core.borrow_mut();
         // A restarted forwarder has another boot id, though its seed is the same.
-        let boot = core.clock.now() as u64 ^ core.chance.u64(..);
+        let boot = core.clock.now() as u64 ^ core.rng.u64(..);
         (core.options.stewards.clone(), boot)
     };
     for (number, address) in stewards.into_iter().enumerate() {
@@ -29,8 +29,8 @@
         tokio::task::spawn_local(async move {
             let mut newest_term = 0;
             loop {
-                let _ = joined(&forwarder, number, address, boot, &mut newest_term).await;
-                let wait = forwarder.core.borrow_mut().chance.u64(50..300);
+                let _ = run_connection(&forwarder, number, address, boot, &mut newest_term).await;
+                let wait = forwarder.core.borrow_mut().rng.u64(50..300);
                 sleep(Duration::from_millis(wait)).await;
             }
         });
@@ -38,24 +38,24 @@
 }
 
 /// State of one stream.
-struct Joined {
+struct StreamState {
     /// Index of the steward.
     steward: usize,
     /// Duration of the lease, from the welcome.
     lease: Time,
     /// True once the full table has been read on this stream.
-    read: bool,
-    next: Reading,
+    full_table_read: bool,
+    partial: PartialTable,
 }
 
-async fn joined(
+async fn run_connection(
     forwarder: &Forwarder,
     number: usize,
     steward: SocketAddr,
     boot: u64,
     newest_term: &mut u64,
 ) -> std::io::Result<()> {
-    let broken = |fault: Fault| std::io::Error::other(fault.to_string());
+    let protocol_error = |fault: Fault| std::io::Error::other(fault.to_string());
     let connecting = timeout(Duration::from_millis(400), TcpStream::connect(steward));
     let socket = connecting.await.map_err(std::io::Error::other)??;
     socket.set_nodelay(true)?;
@@ -63,10 +63,11 @@
     let (mut read, mut write) =
         (FramedRead::new(read, codec(MOST_DOWN)), FramedWrite::new(write, codec(MOST_UP)));
     write.send(hello(forwarder, boot)).await?;
-    let mut state = Joined { steward: number, lease: 0, read: false, next: Reading::default() };
+    let mut state =
+        StreamState { steward: number, lease: 0, full_table_read: false, partial: PartialTable::default() };
     let (mut ping_every, mut report_every) = (Duration::from_secs(1), Duration::from_secs(1));
     let (mut ping, mut report) = (interval(ping_every), interval(report_every));
-    let mut echoed = Instant::now();
+    let mut echoed_at = Instant::now();
     loop {
         tokio::select! {
             // Received frames are handled before anything is sent.
@@ -74,12 +75,12 @@
             body = read.next() => {
                 let Some(body) = body else { return Ok(()) };
                 let body = body?;
-                let mut fields = Body::new(&body).map_err(broken)?;
+                let mut fields = Body::new(&body).map_err(protocol_error)?;
                 match fields.kind() {
                     kind::WELCOME => {
                         let term;
                         (state.lease, term, ping_every, report_every) =
-                            welcome(forwarder, fields).map_err(broken)?;
+                            welcome(forwarder, fields).map_err(protocol_error)?;
                         if term < *newest_term {
                             return Err(std::io::Error::other("a steward of a lower term"));
                         }
@@ -88,20 +89,20 @@
                         report.tick().await;
                     }
                     kind::READ => {
-                        if let Some(answer) = read_part(forwarder, &mut state, fields).map_err(broken)? {
+                        if let Some(answer) = read_part(forwarder, &mut state, fields).map_err(protocol_error)? {
                             write.send(answer).await?;
                         }
                     }
                     kind::TABLE => {
-                        if let Some(answer) = take(forwarder, &state, fields).map_err(broken)? {
+                        if let Some(answer) = apply_changes(forwarder, &state, fields).map_err(protocol_error)? {
                             write.send(answer).await?;
                         }
                     }
                     kind::ECHO => {
-                        while let Some((tag, mut field)) = fields.field().map_err(broken)? {
+                        while let Some((tag, mut field)) = fields.field().map_err(protocol_error)? {
                             if tag == tag::SENT {
-                                echoed = Instant::now();
-                                renew(forwarder, &state, field.time().map_err(broken)?);
+                                echoed_at = Instant::now();
+                                renew(forwarder, &state, field.time().map_err(protocol_error)?);
                             }
                         }
                     }
@@ -110,15 +111,15 @@
                 }
             }
             _ = ping.tick() => {
-                let trusts = forwarder.core.borrow().options.ignores_terms;
-                if echoed.elapsed() > 8 * ping_every && !trusts {
+                let ignores_terms = forwarder.core.borrow().options.ignores_terms;
+                if echoed_at.elapsed() > 8 * ping_every && !ignores_terms {
                     return Err(std::io::Error::other("no echo"));
                 }
                 let now = forwarder.core.borrow().clock.now();
                 write.send(Frame::new(kind::PING).numbers(tag::SENT, &[now as u64]).finish()).await?;
             }
             _ = report.tick() => {
-                if let Some(body) = reported(forwarder, number, report_every) {
+                if let Some(body) = report_frame(forwarder, number, report_every) {
                     write.send(body).await?;
                 }
             }
@@ -156,29 +157,29 @@
             _ => {}
         }
     }
-    forwarder.core.borrow_mut().table.shape(slices, kinds, hold, settle);
+    forwarder.core.borrow_mut().table.set_shape(slices, kinds, hold, settle);
     Ok((lease, term, ping, report))
 }
 
 /// Reads a part of the full table. At its end the table replaces the previous one, and the frame to answer is returned.
-fn read_part(forwarder: &Forwarder, state: &mut Joined, mut body: Body) -> Result<Option<Bytes>, Fault> {
+fn read_part(forwarder: &Forwarder, state: &mut StreamState, mut body: Body) -> Result<Option<Bytes>, Fault> {
     let mut answer = None;
     while let Some((tag, mut field)) = body.field()? {
         if tag != tag::END {
-            forwarder.core.borrow().table.read(&mut state.next, tag, field)?;
+            forwarder.core.borrow().table.read(&mut state.partial, tag, field)?;
             continue;
         }
         answer = Some(Frame::new(kind::ANSWER).numbers(tag::END, &[field.number()?]).finish());
-        forwarder.core.borrow_mut().table.replace(state.steward, std::mem::take(&mut state.next));
-        state.read = true;
+        forwarder.core.borrow_mut().table.replace(state.steward, std::mem::take(&mut state.partial));
+        state.full_table_read = true;
         forwarder.changed.notify_waiters();
     }
     Ok(answer)
 }
 
 /// Applies changes, stalls for their lines, and returns the answer if one is requested.
-fn take(forwarder: &Forwarder, state: &Joined, mut body: Body) -> Result<Option<Bytes>, Fault> {
-    if !state.read {
+fn apply_changes(forwarder: &Forwarder, state: &StreamState, mut body: Body) -> Result<Option<Bytes>, Fault> {
+    if !state.full_table_read {
         return Err(Fault::Empty); // the full table comes first
     }
     let (mut answer, mut asked, mut lines) = (Frame::new(kind::ANSWER), false, 0);
@@ -198,32 +199,33 @@
 }
 
 /// Renews the lease from when the echoed ping was sent, if the full table has been read on this stream.
-fn renew(forwarder: &Forwarder, state: &Joined, sent: Time) {
-    if state.read {
+fn renew(forwarder: &Forwarder, state: &StreamState, sent: Time) {
+    if state.full_table_read {
         forwarder.core.borrow_mut().table.renew(state.steward, sent + state.lease);
     }
 }
 
 /// Returns a steward's report: its servers and the arrivals of its slices. `None` if there is nothing to report.
-fn reported(forwarder: &Forwarder, steward: usize, window: Duration) -> Option<Bytes> {
+fn report_frame(forwarder: &Forwarder, steward: usize, window: Duration) -> Option<Bytes> {
     let mut core = forwarder.core.borrow_mut();
     let core = &mut *core;
-    let (met, rest) = std::mem::take(&mut core.met).into_iter().partition(|&((of, _), _)| of == steward);
-    core.met = rest;
-    let met: BTreeMap<(usize, u64), Met> = met;
+    let (stats, rest) =
+        std::mem::take(&mut core.server_stats).into_iter().partition(|&((of, _), _)| of == steward);
+    core.server_stats = rest;
+    let stats: BTreeMap<(usize, u64), ServerStats> = stats;
     let own = |&((slice, _), _): &((u64, u64), u64)| core.table.steward(slice) == steward;
     let (arrived, rest) = std::mem::take(&mut core.arrived).into_iter().partition(own);
     core.arrived = rest;
     let arrived: BTreeMap<(u64, u64), u64> = arrived;
-    if met.is_empty() && arrived.is_empty() {
+    if stats.is_empty() && arrived.is_empty() {
         return None;
     }
     let mut frame = Frame::new(kind::REPORT);
     frame.numbers(tag::WINDOW, &[window.as_micros() as u64 / 100]);
-    for ((_, server), met) in met {
-        let took = met.took as u64 / (met.tries - met.failed).max(1);
-        let mut numbers = vec![server, met.tries, met.failed, took];
-        numbers.extend(met.util.map(millionths));
+    for ((_, server), stats) in stats {
+        let took = stats.took as u64 / (stats.tries - stats.failed).max(1);
+        let mut numbers = vec![server, stats.tries, stats.failed, took];
+        numbers.extend(stats.util.map(millionths));
         frame.numbers(tag::MET, &numbers);
     }
     for ((slice, kind), count) in arrived {
--- a/crates/standin/src/forwarder/table.rs
+++ b/crates/standin/src/forwarder/table.rs
@@ -42,14 +42,14 @@
     all: Vec<(u64, f64)>,
     servers: BTreeMap<u64, SocketAddr>,
     /// Servers that the steward has withdrawn.
-    out: Vec<u64>,
+    withdrawn: Vec<u64>,
     /// End of the lease that its last echo gave.
     lease_until: Time,
 }
 
 /// The full table of a steward while it is read. At its end it replaces the previous one atomically.
 #[derive(Clone, Debug, Default)]
-pub struct Reading {
+pub struct PartialTable {
     slices: BTreeMap<usize, (u64, Line)>,
     steward: Steward,
 }
@@ -77,20 +77,20 @@
     }
 
     /// Applies a welcome: the number of slices, which kinds write, and the times.
-    pub fn shape(&mut self, slices: usize, kinds: Vec<bool>, hold: Time, settle: Time) {
+    pub fn set_shape(&mut self, slices: usize, kinds: Vec<bool>, hold: Time, settle: Time) {
         self.slices.resize(slices, Slice::default());
         (self.kinds, self.hold, self.settle) = (kinds, hold, settle);
     }
 
     /// Returns true if a slice is assigned to the steward, so that its change applies; else counts the refusal.
-    fn counts(&mut self, steward: usize, slice: usize) -> bool {
+    fn accepts(&mut self, steward: usize, slice: usize) -> bool {
         let Some(entry) = self.slices.get(slice) else { return false };
-        let counts = self.ignores_terms || entry.steward == steward && entry.term > 0;
-        self.refused += u64::from(!counts);
-        counts
+        let accepted = self.ignores_terms || entry.steward == steward && entry.term > 0;
+        self.refused += u64::from(!accepted);
+        accepted
     }
 
-    fn charge(&mut self, steward: usize, slice: usize, term: u64, line: Line) {
+    fn assign(&mut self, steward: usize, slice: usize, term: u64, line: Line) {
         let Some(entry) = self.slices.get_mut(slice) else { return };
         if term < entry.term && !self.ignores_terms {
             self.refused += 1;
@@ -99,7 +99,7 @@
         }
     }
 
-    fn leave(&mut self, steward: usize, slice: usize) {
+    fn release(&mut self, steward: usize, slice: usize) {
         let until = self.stewards[steward].lease_until;
         if let Some(entry) = self.slices.get_mut(slice).filter(|entry| entry.steward == steward) {
             entry.lease_until.get_or_insert(until);
@@ -107,46 +107,46 @@
     }
 
     /// Reads one field of a part of the full table.
-    pub fn read(&self, reading: &mut Reading, tag: u8, mut field: Numbers) -> Result<(), Fault> {
+    pub fn read(&self, partial: &mut PartialTable, tag: u8, mut field: Numbers) -> Result<(), Fault> {
         match tag {
             tag::CHARGE => {
                 let (first, count, term) = (field.index()?, field.index()?, field.number()?);
                 let slices = first..first.saturating_add(count).min(self.slices.len());
-                reading.slices.extend(slices.map(|slice| (slice, (term, Line::default()))));
+                partial.slices.extend(slices.map(|slice| (slice, (term, Line::default()))));
             }
             tag::LINE => {
-                if let Some((_, line)) = reading.slices.get_mut(&field.index()?) {
-                    line.take(&mut field, &reading.steward.servers)?;
+                if let Some((_, line)) = partial.slices.get_mut(&field.index()?) {
+                    line.take(&mut field, &partial.steward.servers)?;
                 }
             }
             tag::LEVEL => {
                 let (slice, kinds, share) = (field.index()?, field.number()?, field.fraction()?);
-                let own = slice.checked_sub(1).and_then(|slice| reading.slices.get_mut(&slice));
+                let own = slice.checked_sub(1).and_then(|slice| partial.slices.get_mut(&slice));
                 match own {
                     Some((_, line)) => set_level(&mut line.levels, kinds, share),
-                    None if slice == 0 => set_level(&mut reading.steward.all, kinds, share),
+                    None if slice == 0 => set_level(&mut partial.steward.all, kinds, share),
                     None => {}
                 }
             }
-            tag::ADDRESS | tag::WITHDRAW => reading.steward.take(tag, field)?,
+            tag::ADDRESS | tag::WITHDRAW => partial.steward.take(tag, field)?,
             _ => {}
         }
         Ok(())
     }
 
     /// Replaces a steward's table by one that has been read in full.
-    pub fn replace(&mut self, steward: usize, reading: Reading) {
+    pub fn replace(&mut self, steward: usize, partial: PartialTable) {
         for slice in 0..self.slices.len() {
-            if self.slices[slice].steward == steward && !reading.slices.contains_key(&slice) {
-                self.leave(steward, slice);
+            if self.slices[slice].steward == steward && !partial.slices.contains_key(&slice) {
+                self.release(steward, slice);
                 // The old table's server numbers are no longer valid.
                 self.slices[slice].line.owner.iter_mut().for_each(|owner| owner.server = None);
             }
         }
         let lease_until = self.stewards[steward].lease_until;
-        self.stewards[steward] = Steward { lease_until, ..reading.steward };
-        for (slice, (term, line)) in reading.slices {
-            self.charge(steward, slice, term, line);
+        self.stewards[steward] = Steward { lease_until, ..partial.steward };
+        for (slice, (term, line)) in partial.slices {
+            self.assign(steward, slice, term, line);
         }
     }
 
@@ -156,18 +156,18 @@
             tag::CHARGE => {
                 let (first, count, term) = (field.index()?, field.index()?, field.number()?);
                 for slice in first..first.saturating_add(count).min(self.slices.len()) {
-                    self.charge(steward, slice, term, Line::default());
+                    self.assign(steward, slice, term, Line::default());
                 }
             }
             tag::LEFT => {
                 let (first, count) = (field.index()?, field.index()?);
                 for slice in first..first.saturating_add(count).min(self.slices.len()) {
-                    self.leave(steward, slice);
+                    self.release(steward, slice);
                 }
             }
             tag::LINE | tag::HELD => {
                 let slice = field.index()?;
-                if self.counts(steward, slice) {
+                if self.accepts(steward, slice) {
                     let entry = &mut self.slices[slice];
                     entry.steward = steward;
                     entry.line.take(&mut field, &self.stewards[steward].servers)?;
@@ -176,7 +176,7 @@
             }
             tag::DROP => {
                 let slice = field.index()?;
-                if self.counts(steward, slice) {
+                if self.accepts(steward, slice) {
                     self.slices[slice].line = Line::default();
                 }
                 return Ok(true);
@@ -185,7 +185,7 @@
                 let (slice, kinds, share) = (field.index()?, field.number()?, field.fraction()?);
                 match slice.checked_sub(1) {
                     None => set_level(&mut self.stewards[steward].all, kinds, share),
-                    Some(slice) if self.counts(steward, slice) => {
+                    Some(slice) if self.accepts(steward, slice) => {
                         set_level(&mut self.slices[slice].line.levels, kinds, share);
                     }
                     Some(_) => {}
@@ -263,8 +263,8 @@
 
     /// Returns true if the steward that the slice is assigned to has withdrawn the server.
     pub fn withdrawn(&self, slice: u64, server: Option<u64>) -> bool {
-        let out = self.stewards.get(self.steward(slice)).map(|steward| &steward.out);
-        server.is_some_and(|server| out.is_some_and(|out| out.contains(&server)))
+        let withdrawn = self.stewards.get(self.steward(slice)).map(|steward| &steward.withdrawn);
+        server.is_some_and(|server| withdrawn.is_some_and(|withdrawn| withdrawn.contains(&server)))
     }
 
     /// Returns true if a request kind writes; so does an unknown kind.
@@ -291,9 +291,9 @@
             self.servers.extend(field.text()?.parse().ok().map(|address| (server, address)));
             return Ok(());
         }
-        self.out.retain(|&other| other != server);
+        self.withdrawn.retain(|&other| other != server);
         if field.number()? != 0 {
-            self.out.push(server);
+            self.withdrawn.push(server);
         }
         Ok(())
     }
--- a/crates/standin/src/platform/discovery.rs
+++ b/crates/standin/src/platform/discovery.rs
@@ -23,7 +23,7 @@
     /// The generation of the list.
     version: u64,
     /// The full list.
-    whole: Vec<Value>,
+    hosts: Vec<Value>,
     /// The changed entries of each version after the first.
     changes: Vec<(u64, Vec<Value>)>,
     /// Calls received, and connections accepted.
@@ -35,15 +35,15 @@
     /// No call is answered.
     silent: bool,
     /// The version and hosts that are published in place of the current ones.
-    held: Option<(u64, Vec<Value>)>,
+    pinned: Option<(u64, Vec<Value>)>,
 }
 
 impl State {
     /// Returns the version and hosts that are published.
-    fn told(&self) -> (u64, &[Value]) {
-        match &self.held {
-            Some((version, whole)) => (*version, whole),
-            None => (self.version, &self.whole),
+    fn published(&self) -> (u64, &[Value]) {
+        match &self.pinned {
+            Some((version, hosts)) => (*version, hosts),
+            None => (self.version, &self.hosts),
         }
     }
 }
@@ -66,9 +66,9 @@
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
     /// Notified when watches and waiting calls must check the state again.
-    news: Arc<Notify>,
+    changed: Arc<Notify>,
     /// Notified at each call.
-    asked: Arc<Notify>,
+    called: Arc<Notify>,
     /// Notified to stop accepting connections at this address.
     closing: Arc<Notify>,
     _serving: JoinSet<()>,
@@ -87,27 +87,27 @@
 impl Discovery {
     /// Starts a service that lists these hosts, all active.
     pub async fn start(hosts: &[&str]) -> std::io::Result<Discovery> {
-        let whole = hosts.iter().map(|id| host(id, "active")).collect();
-        let state = Arc::new(Mutex::new(State { version: 1, whole, ..State::default() }));
+        let hosts = hosts.iter().map(|id| host(id, "active")).collect();
+        let state = Arc::new(Mutex::new(State { version: 1, hosts, ..State::default() }));
         Discovery::serving(state, Arc::new(Notify::new()), Arc::new(Notify::new())).await
     }
 
     /// Serves the same list at one more address.
     pub async fn also(&self) -> std::io::Result<Discovery> {
-        Discovery::serving(self.state.clone(), self.news.clone(), self.asked.clone()).await
+        Discovery::serving(self.state.clone(), self.changed.clone(), self.called.clone()).await
     }
 
     async fn serving(
         state: Arc<Mutex<State>>,
-        news: Arc<Notify>,
-        asked: Arc<Notify>,
+        changed: Arc<Notify>,
+        called: Arc<Notify>,
     ) -> std::io::Result<Discovery> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let closing = Arc::new(Notify::new());
         let mut serving = JoinSet::new();
-        serving.spawn(accept(listener, closing.clone(), state.clone(), news.clone(), asked.clone()));
-        Ok(Discovery { address, state, news, asked, closing, _serving: serving })
+        serving.spawn(accept(listener, closing.clone(), state.clone(), changed.clone(), called.clone()));
+        Ok(Discovery { address, state, changed, called, closing, _serving: serving })
     }
 
     /// Stops accepting connections at this address; open ones continue until this is dropped.
@@ -120,20 +120,20 @@
         let mut state = locked(&self.state);
         state.version += 1;
         let entry = host(id, lifecycle);
-        state.whole.retain(|host| host["instanceId"] != id);
+        state.hosts.retain(|host| host["instanceId"] != id);
         if lifecycle != "left" {
-            state.whole.push(entry.clone());
+            state.hosts.push(entry.clone());
         }
         let version = state.version;
         state.changes.push((version, vec![entry]));
         drop(state);
-        self.news.notify_waiters();
+        self.changed.notify_waiters();
     }
 
     /// Returns the hosts that are listed as leaving.
     pub fn leaving(&self) -> Vec<String> {
         let state = locked(&self.state);
-        let leaving = state.whole.iter().filter(|host| host["lifecycle"] == "leaving");
+        let leaving = state.hosts.iter().filter(|host| host["lifecycle"] == "leaving");
         leaving.filter_map(|host| host["instanceId"].as_str().map(str::to_owned)).collect()
     }
 
@@ -160,19 +160,19 @@
     /// Publishes the list as it is now from here on, however it changes.
     pub fn hold_back(&self) {
         let mut state = locked(&self.state);
-        state.held = Some((state.version, state.whole.clone()));
+        state.pinned = Some((state.version, state.hosts.clone()));
     }
 
     /// Answers calls again, including those that wait.
     pub fn speak(&self) {
         locked(&self.state).silent = false;
-        self.news.notify_waiters();
+        self.changed.notify_waiters();
     }
 
     /// Publishes the current list again.
     pub fn catch_up(&self) {
-        locked(&self.state).held = None;
-        self.news.notify_waiters();
+        locked(&self.state).pinned = None;
+        self.changed.notify_waiters();
     }
 
     /// Sets the version and drops the history, as when discovery has restarted.
@@ -190,11 +190,11 @@
     /// Waits until this number of calls has been received.
     pub async fn until_called(&self, calls: usize) {
         loop {
-            let asked = self.asked.notified();
+            let called = self.called.notified();
             if self.calls() >= calls {
                 return;
             }
-            asked.await;
+            called.await;
         }
     }
 
@@ -208,8 +208,8 @@
     listener: TcpListener,
     closing: Arc<Notify>,
     state: Arc<Mutex<State>>,
-    news: Arc<Notify>,
-    asked: Arc<Notify>,
+    changed: Arc<Notify>,
+    called: Arc<Notify>,
 ) {
     let mut streams = JoinSet::new();
     loop {
@@ -220,13 +220,13 @@
             },
             () = closing.notified() => break,
         };
-        let (state, news, asked) = (state.clone(), news.clone(), asked.clone());
+        let (state, changed, called) = (state.clone(), changed.clone(), called.clone());
         locked(&state).connections += 1;
         streams.spawn(async move {
             let service = service_fn(move |request| {
                 locked(&state).calls += 1;
-                asked.notify_waiters();
-                answer(request, state.clone(), news.clone())
+                called.notify_waiters();
+                answer(request, state.clone(), changed.clone())
             });
             let serving = hyper::server::conn::http1::Builder::new();
             drop(serving.serve_connection(TokioIo::new(socket), service).await);
@@ -242,9 +242,9 @@
 async fn answer(
     request: Request<hyper::body::Incoming>,
     state: Arc<Mutex<State>>,
-    news: Arc<Notify>,
+    changed: Arc<Notify>,
 ) -> Result<Answer, Infallible> {
-    let mut list = told(request, &state, &news).await;
+    let mut list = list_response(request, &state, &changed).await;
     let fault = locked(&state).faults.pop_front();
     if fault == Some(ListFault::Spoilt) {
         let entries = list["instances"].as_array_mut();
@@ -265,27 +265,31 @@
 }
 
 /// Returns the full list or, with `since`, the changes after that version, waiting for some.
-async fn told(request: Request<hyper::body::Incoming>, state: &Mutex<State>, news: &Notify) -> Value {
+async fn list_response(
+    request: Request<hyper::body::Incoming>,
+    state: &Mutex<State>,
+    changed: &Notify,
+) -> Value {
     let query = request.uri().query().unwrap_or("");
     let field = |name: &str| -> Option<u64> {
         query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
     };
     let Some(since) = field("since") else {
-        until_spoken(state, news).await;
+        wait_while_silent(state, changed).await;
         let state = locked(state);
-        let (version, whole) = state.told();
-        return json!({"generation": version, "reset": true, "instances": whole});
+        let (version, hosts) = state.published();
+        return json!({"generation": version, "reset": true, "instances": hosts});
     };
     let wait = Duration::from_millis(field("timeout_ms").unwrap_or(0));
     let newer = async {
         loop {
-            let notified = news.notified();
+            let notified = changed.notified();
             let version = {
                 let state = locked(state);
                 if state.frozen || state.silent {
                     0
                 } else {
-                    state.told().0
+                    state.published().0
                 }
             };
             if version > since {
@@ -295,21 +299,21 @@
         }
     };
     let _ = tokio::time::timeout(wait, newer).await;
-    until_spoken(state, news).await;
+    wait_while_silent(state, changed).await;
     let state = locked(state);
     if state.frozen {
         return json!({"generation": since, "reset": false, "instances": []});
     }
-    let (told, _) = state.told();
-    let changes = state.changes.iter().filter(|(version, _)| (since + 1..=told).contains(version));
+    let (published, _) = state.published();
+    let changes = state.changes.iter().filter(|(version, _)| (since + 1..=published).contains(version));
     let changes: Vec<&Value> = changes.flat_map(|(_, entries)| entries).collect();
-    json!({"generation": told, "reset": false, "instances": changes})
+    json!({"generation": published, "reset": false, "instances": changes})
 }
 
 /// Waits while the service is silent.
-async fn until_spoken(state: &Mutex<State>, news: &Notify) {
+async fn wait_while_silent(state: &Mutex<State>, changed: &Notify) {
     loop {
-        let notified = news.notified();
+        let notified = changed.notified();
         if !locked(state).silent {
             return;
         }
--- a/crates/standin/src/platform/relay.rs
+++ b/crates/standin/src/platform/relay.rs
@@ -41,24 +41,25 @@
 }
 
 /// Maximum number of notifications queued for a subscriber; one that lags further is disconnected.
-const NEWS: usize = 4_096;
+const SUBSCRIBER_QUEUE: usize = 4_096;
 
 /// The notification that a proxy's stream is up.
-fn joined(id: u64) -> String {
-    news("SUBSCRIBE", json!({"id": id, "site": "a", "rps": 1.0, "new": false}))
+fn proxy_notification(id: u64) -> String {
+    notification("SUBSCRIBE", json!({"id": id, "site": "a", "rps": 1.0, "new": false}))
 }
 
 /// The notifications for a slice that is assigned to the steward: the assignment and the line, if there is one.
-fn given(range: u64, row: &Option<(String, f64)>) -> Vec<String> {
-    let grant = news("GRANT", json!({"range": range, "flag": true}));
-    let row =
-        row.as_ref().map(|(target, rps)| news("ROW", json!({"range": range, "target": target, "rps": rps})));
+fn slice_notifications(range: u64, row: &Option<(String, f64)>) -> Vec<String> {
+    let grant = notification("GRANT", json!({"range": range, "flag": true}));
+    let row = row
+        .as_ref()
+        .map(|(target, rps)| notification("ROW", json!({"range": range, "target": target, "rps": rps})));
     [grant].into_iter().chain(row).collect()
 }
 
 /// A message to a subscriber.
 #[derive(Debug)]
-enum News {
+enum Notification {
     Line(String),
     /// The first part of a line, after which the connection closes.
     Half(&'static str),
@@ -95,7 +96,7 @@
     /// Fault: subscriptions receive nothing, and their connections stay open.
     pub silent_news: bool,
     faults: VecDeque<Fault>,
-    readers: Vec<mpsc::Sender<News>>,
+    subscribers: Vec<mpsc::Sender<Notification>>,
 }
 
 /// A relay at one address.
@@ -104,7 +105,7 @@
     said: Arc<Mutex<Said>>,
     changed: Arc<Notify>,
     /// Each permit releases one held answer.
-    word: Arc<Semaphore>,
+    releases: Arc<Semaphore>,
     _serving: JoinSet<()>,
 }
 
@@ -112,56 +113,56 @@
     said.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-fn news(method: &str, params: Value) -> String {
+fn notification(method: &str, params: Value) -> String {
     json!({"jsonrpc": "2.0", "method": method, "params": params}).to_string()
 }
 
 impl Said {
     /// Sends a line to all subscribers.
     pub fn tell(&mut self, line: String) {
-        self.readers.retain(|reader| reader.try_send(News::Line(line.clone())).is_ok());
+        self.subscribers.retain(|subscriber| subscriber.try_send(Notification::Line(line.clone())).is_ok());
     }
 
     /// Brings up a proxy's stream and notifies the subscribers.
     pub fn join(&mut self, id: u64) {
         self.proxies.push(id);
-        self.tell(joined(id));
+        self.tell(proxy_notification(id));
     }
 
     /// Breaks a proxy's stream and notifies the subscribers.
     pub fn leave(&mut self, id: u64) {
         self.proxies.retain(|proxy| *proxy != id);
-        self.tell(news("CLOSED", json!({"id": id})));
+        self.tell(notification("CLOSED", json!({"id": id})));
     }
 
     /// Withdraws a slice from the steward; returns its line.
     pub fn take_slice(&mut self, range: u64) -> Option<(String, f64)> {
         let row = self.rows.remove(&range).flatten();
-        self.tell(news("GRANT", json!({"range": range, "flag": false})));
+        self.tell(notification("GRANT", json!({"range": range, "flag": false})));
         row
     }
 
     /// Assigns a slice with this line to the steward.
     pub fn give_slice(&mut self, range: u64, row: Option<(String, f64)>) {
-        given(range, &row).into_iter().for_each(|line| self.tell(line));
+        slice_notifications(range, &row).into_iter().for_each(|line| self.tell(line));
         self.rows.insert(range, row);
     }
 
     /// Returns the notifications that describe the current state.
-    fn stands(&self) -> Vec<String> {
-        let proxies = self.proxies.iter().map(|id| joined(*id));
-        let slices = self.rows.iter().flat_map(|(range, row)| given(*range, row));
+    fn snapshot(&self) -> Vec<String> {
+        let proxies = self.proxies.iter().map(|id| proxy_notification(*id));
+        let slices = self.rows.iter().flat_map(|(range, row)| slice_notifications(*range, row));
         proxies.chain(slices).collect()
     }
 
     /// Executes orders up to the first that is refused; returns how many were executed.
-    fn carry_out(&mut self, changes: &[Value]) -> usize {
-        for (taken, order) in changes.iter().enumerate() {
+    fn execute(&mut self, changes: &[Value]) -> usize {
+        for (executed, order) in changes.iter().enumerate() {
             let known = |route: &Value| self.classes.iter().any(|class| route == class);
             let mut routes = order["routes"].as_array().into_iter().flatten();
             if !self.classes.is_empty() && !routes.all(known) {
                 self.refused += 1;
-                return taken;
+                return executed;
             }
             let slice = order["cluster"].as_u64();
             match (order["verb"].as_str(), slice.and_then(|slice| self.rows.get_mut(&slice))) {
@@ -179,7 +180,7 @@
                     let slow = self.slow;
                     for proxy in self.proxies.clone().into_iter().filter(|proxy| Some(*proxy) != slow) {
                         let ack = json!({"id": proxy, "seq": order["nonce_out"], "ms": 1.0});
-                        self.tell(news("ACK", ack));
+                        self.tell(notification("ACK", ack));
                     }
                 }
                 _ => {}
@@ -201,18 +202,18 @@
     async fn serving(
         said: Arc<Mutex<Said>>,
         changed: Arc<Notify>,
-        word: Arc<Semaphore>,
+        releases: Arc<Semaphore>,
     ) -> std::io::Result<Relay> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let mut serving = JoinSet::new();
-        serving.spawn(accept(listener, said.clone(), changed.clone(), word.clone()));
-        Ok(Relay { address, said, changed, word, _serving: serving })
+        serving.spawn(accept(listener, said.clone(), changed.clone(), releases.clone()));
+        Ok(Relay { address, said, changed, releases, _serving: serving })
     }
 
     /// Serves the same state at one more address.
     pub async fn also(&self) -> std::io::Result<Relay> {
-        Relay::serving(self.said.clone(), self.changed.clone(), self.word.clone()).await
+        Relay::serving(self.said.clone(), self.changed.clone(), self.releases.clone()).await
     }
 
     /// Injects a fault into each of the next calls.
@@ -222,7 +223,7 @@
 
     /// Releases one held answer.
     pub fn release(&self) {
-        self.word.add_permits(1);
+        self.releases.add_permits(1);
     }
 
     /// Accesses the relay's state.
@@ -233,16 +234,16 @@
     /// Disconnects all subscribers in the middle of a line.
     pub fn cut(&self) {
         self.with(|said| {
-            let half = || News::Half(r#"{"jsonrpc":"2.0","method":"AC"#);
-            said.readers.drain(..).for_each(|reader| _ = reader.try_send(half()));
+            let half = || Notification::Half(r#"{"jsonrpc":"2.0","method":"AC"#);
+            said.subscribers.drain(..).for_each(|subscriber| _ = subscriber.try_send(half()));
         });
     }
 
     /// Waits until the condition holds.
-    pub async fn until(&self, so: impl Fn(&Said) -> bool) {
+    pub async fn until(&self, condition: impl Fn(&Said) -> bool) {
         loop {
             let changed = self.changed.notified();
-            if self.with(|said| so(said)) {
+            if self.with(|said| condition(said)) {
                 return;
             }
             changed.await;
@@ -250,19 +251,24 @@
     }
 }
 
-async fn accept(listener: TcpListener, said: Arc<Mutex<Said>>, changed: Arc<Notify>, word: Arc<Semaphore>) {
+async fn accept(
+    listener: TcpListener,
+    said: Arc<Mutex<Said>>,
+    changed: Arc<Notify>,
+    releases: Arc<Semaphore>,
+) {
     let mut streams = JoinSet::new();
     while let Ok((socket, _)) = listener.accept().await {
-        streams.spawn(serve(socket, said.clone(), changed.clone(), word.clone()));
+        streams.spawn(serve(socket, said.clone(), changed.clone(), releases.clone()));
     }
 }
 
 /// Writes an answer with the fault applied; returns false if the connection must close.
-async fn answer_by(
+async fn write_answer(
     fault: Option<Fault>,
     lines: &mut Framed<TcpStream, LinesCodec>,
     answer: &str,
-    word: &Semaphore,
+    releases: &Semaphore,
 ) -> std::io::Result<bool> {
     let line = format!("{answer}\n");
     let socket = lines.get_mut();
@@ -281,7 +287,7 @@
         }
         Some(Fault::Twice) => socket.write_all(line.repeat(2).as_bytes()).await.map(|()| true),
         Some(Fault::Held) => {
-            let Ok(permit) = word.acquire().await else { return Ok(false) };
+            let Ok(permit) = releases.acquire().await else { return Ok(false) };
             permit.forget();
             socket.write_all(line.as_bytes()).await.map(|()| true)
         }
@@ -289,16 +295,16 @@
     }
 }
 
-async fn serve(socket: TcpStream, said: Arc<Mutex<Said>>, changed: Arc<Notify>, word: Arc<Semaphore>) {
+async fn serve(socket: TcpStream, said: Arc<Mutex<Said>>, changed: Arc<Notify>, releases: Arc<Semaphore>) {
     let _ = socket.set_nodelay(true);
     let mut lines = Framed::new(socket, LinesCodec::new());
     while let Some(Ok(line)) = lines.next().await {
         let call: Value = serde_json::from_str(&line).unwrap_or_default();
         if call["method"] == "subscribe" {
-            return tell_news(lines, &call, said, changed).await;
+            return serve_subscription(lines, &call, said, changed).await;
         }
         let changes = call["params"]["changes"].as_array().cloned().unwrap_or_default();
-        let (fault, taken) = {
+        let (fault, executed) = {
             let mut said = locked(&said);
             said.calls += 1;
             let id = call["id"].as_u64().unwrap_or(0);
@@ -309,11 +315,11 @@
             }
             said.latest_call = id;
             let fault = said.faults.pop_front();
-            let taken = match fault {
+            let executed = match fault {
                 Some(Fault::Lost | Fault::Throttled) => 0,
-                _ => said.carry_out(&changes),
+                _ => said.execute(&changes),
             };
-            (fault, taken)
+            (fault, executed)
         };
         changed.notify_waiters();
         let id = &call["id"];
@@ -324,35 +330,35 @@
             Some(Fault::Throttled) => {
                 json!({"jsonrpc": "2.0", "id": id, "error": {"code": -32000, "message": "Throttling"}})
             }
-            _ => json!({"jsonrpc": "2.0", "id": id, "result": {"ok_count": taken}}),
+            _ => json!({"jsonrpc": "2.0", "id": id, "result": {"ok_count": executed}}),
         };
-        if !answer_by(fault, &mut lines, &answer.to_string(), &word).await.unwrap_or(false) {
+        if !write_answer(fault, &mut lines, &answer.to_string(), &releases).await.unwrap_or(false) {
             return;
         }
     }
 }
 
 /// Serves a subscription: the current state, then notifications and pings.
-async fn tell_news(
+async fn serve_subscription(
     mut lines: Framed<TcpStream, LinesCodec>,
     call: &Value,
     said: Arc<Mutex<Said>>,
     changed: Arc<Notify>,
 ) {
-    let (reader, mut queue) = mpsc::channel(NEWS);
+    let (subscriber, mut queue) = mpsc::channel(SUBSCRIBER_QUEUE);
     let first = json!({"jsonrpc": "2.0", "id": call["id"], "result": true}).to_string();
     let silent = locked(&said).silent_news;
     if silent {
         return std::future::pending().await;
     }
-    let (stands, cut_after) = {
+    let (snapshot, cut_after) = {
         let mut said = locked(&said);
-        said.readers.push(reader);
+        said.subscribers.push(subscriber);
         said.subscriptions += 1;
-        (said.stands(), said.cut_after)
+        (said.snapshot(), said.cut_after)
     };
     changed.notify_waiters();
-    for line in [first].into_iter().chain(stands).take(cut_after.unwrap_or(usize::MAX)) {
+    for line in [first].into_iter().chain(snapshot).take(cut_after.unwrap_or(usize::MAX)) {
         if lines.send(line).await.is_err() {
             return;
         }
@@ -360,18 +366,18 @@
     if cut_after.is_some() {
         return;
     }
-    let mut beat = tokio::time::interval(Duration::from_millis(200));
+    let mut ping_interval = tokio::time::interval(Duration::from_millis(200));
     loop {
         let line = tokio::select! {
             line = queue.recv() => match line {
-                Some(News::Line(line)) => line,
-                Some(News::Half(half)) => {
+                Some(Notification::Line(line)) => line,
+                Some(Notification::Half(half)) => {
                     let _ = lines.get_mut().write_all(half.as_bytes()).await;
                     return;
                 }
                 None => return,
             },
-            _ = beat.tick() => news("ping", json!({})),
+            _ = ping_interval.tick() => notification("ping", json!({})),
         };
         if lines.send(line).await.is_err() {
             return;
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -14,7 +14,7 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio_util::codec::{FramedRead, FramedWrite};
 
-use crate::wire::{status, tag, GREETING, MOST, REQ, RES};
+use crate::wire::{status, tag, GREETING, MAX_FRAME_BYTES, REQ, RES};
 use crate::{duration, Capture, Event, Time, SECOND};
 
 /// The capacity of a plan server.
@@ -61,7 +61,7 @@
     work: f64,
     finish_by: Time,
     answer: mpsc::Sender<Bytes>,
-    its_try: u64,
+    try_number: u64,
 }
 
 /// A plan server. It keeps its address over restarts.
@@ -75,23 +75,23 @@
     boot: Cell<Time>,
     up: Cell<bool>,
     /// Crashed by overload; it isn't restarted.
-    fallen: Cell<bool>,
+    crashed: Cell<bool>,
     draining: Cell<bool>,
     ills: RefCell<Ills>,
-    woken: Notify,
+    faults_changed: Notify,
     /// Incremented when the server stops, so that jobs of an earlier incarnation are dropped.
-    life: Cell<u64>,
+    incarnation: Cell<u64>,
     busy: Cell<usize>,
     connections: Cell<usize>,
     waiting: RefCell<VecDeque<Job>>,
     /// Work received within `fall_for`: when, and seconds of it.
-    brought: RefCell<VecDeque<(Time, f64)>>,
+    received_work: RefCell<VecDeque<(Time, f64)>>,
     /// Busy core seconds up to a time.
-    used: Cell<(f64, Time)>,
+    busy_time: Cell<(f64, Time)>,
     /// Busy core seconds and time at the last utilisation sample, and that sample.
-    reported: Cell<(f64, Time, f64)>,
+    last_sample: Cell<(f64, Time, f64)>,
     tasks: RefCell<Vec<AbortHandle>>,
-    chance: RefCell<fastrand::Rng>,
+    rng: RefCell<fastrand::Rng>,
 }
 
 impl Server {
@@ -112,19 +112,19 @@
             capture,
             boot: Cell::new(0),
             up: Cell::new(true),
-            fallen: Cell::new(false),
+            crashed: Cell::new(false),
             draining: Cell::new(false),
             ills: RefCell::default(),
-            woken: Notify::new(),
-            life: Cell::new(0),
+            faults_changed: Notify::new(),
+            incarnation: Cell::new(0),
             busy: Cell::new(0),
             connections: Cell::new(0),
             waiting: RefCell::default(),
-            brought: RefCell::default(),
-            used: Cell::new((0.0, 0)),
-            reported: Cell::new((0.0, 0, 0.0)),
+            received_work: RefCell::default(),
+            busy_time: Cell::new((0.0, 0)),
+            last_sample: Cell::new((0.0, 0, 0.0)),
             tasks: RefCell::default(),
-            chance: RefCell::new(fastrand::Rng::with_seed(seed)),
+            rng: RefCell::new(fastrand::Rng::with_seed(seed)),
         });
         server.capture.note(|at| Event::Up { at, server: server.id.clone(), cold: false });
         server.listen(listener);
@@ -147,7 +147,7 @@
 
     pub fn set_ills(&self, ills: Ills) {
         *self.ills.borrow_mut() = ills;
-        self.woken.notify_waiters();
+        self.faults_changed.notify_waiters();
     }
 
     /// Stops at once, dropping all reqs and connections.
@@ -155,7 +155,7 @@
         if !self.up.replace(false) {
             return;
         }
-        self.life.set(self.life.get() + 1);
+        self.incarnation.set(self.incarnation.get() + 1);
         self.tasks.borrow_mut().drain(..).for_each(|task| task.abort());
         self.waiting.borrow_mut().clear();
         self.busy.set(0);
@@ -165,7 +165,7 @@
 
     /// Starts again, cold; does nothing if it is up or has crashed by overload.
     pub fn revive(self: &Rc<Server>) -> io::Result<()> {
-        if self.up.get() || self.fallen.get() {
+        if self.up.get() || self.crashed.get() {
             return Ok(());
         }
         let socket = TcpSocket::new_v4()?;
@@ -182,13 +182,13 @@
         self.up.set(true);
         self.draining.set(false);
         *self.ills.borrow_mut() = Ills::default();
-        self.brought.borrow_mut().clear();
+        self.received_work.borrow_mut().clear();
         self.boot.set(self.capture.now());
         self.capture.note(|at| Event::Up { at, server: self.id.clone(), cold: true });
     }
 
     /// Returns the share of its capacity that it has now.
-    fn present(&self, now: Time) -> f64 {
+    fn capacity_share(&self, now: Time) -> f64 {
         let model = &self.model;
         if self.boot.get() == 0 {
             return 1.0;
@@ -214,28 +214,28 @@
         self.tasks.borrow_mut().push(task.abort_handle());
     }
 
-    async fn unhung(&self) {
+    async fn wait_while_hung(&self) {
         loop {
-            let woken = self.woken.notified();
+            let faults_changed = self.faults_changed.notified();
             if !self.ills.borrow().hung {
                 return;
             }
-            woken.await;
+            faults_changed.await;
         }
     }
 
     async fn connection(self: Rc<Server>, socket: TcpStream) {
-        let life = self.life.get();
+        let incarnation = self.incarnation.get();
         let _ = socket.set_nodelay(true);
         let (read, write) = socket.into_split();
         let (answers, mut queue) = mpsc::channel::<Bytes>(1024);
         let slow = self.ills.borrow().slow_connects;
         tokio::time::sleep(duration(slow)).await;
-        self.unhung().await;
+        self.wait_while_hung().await;
         let writer = async {
-            let mut frames = FramedWrite::new(write, codec(MOST));
+            let mut frames = FramedWrite::new(write, codec(MAX_FRAME_BYTES));
             while let Some(body) = queue.recv().await {
-                self.unhung().await;
+                self.wait_while_hung().await;
                 if frames.send(body).await.is_err() {
                     return;
                 }
@@ -244,9 +244,9 @@
         let now = self.capture.now() as u64;
         let _ = answers.send(Frame::new(GREETING).numbers(tag::NOW, &[now]).finish()).await;
         let reader = async {
-            let mut frames = FramedRead::new(read, codec(MOST));
+            let mut frames = FramedRead::new(read, codec(MAX_FRAME_BYTES));
             while let Some(Ok(body)) = frames.next().await {
-                self.unhung().await;
+                self.wait_while_hung().await;
                 if self.take(&body, &answers).is_err() {
                     return;
                 }
@@ -256,7 +256,7 @@
             () = writer => {}
             () = reader => {}
         }
-        if life == self.life.get() {
+        if incarnation == self.incarnation.get() {
             self.connections.set(self.connections.get() - 1);
         }
     }
@@ -268,8 +268,8 @@
         }
         let (mut kind, mut start_by, mut forwarder) = (0, Time::MAX, 0);
         let answer = answers.clone();
-        let (req, attempt, its_try, slice, writes, work) = (0, 0, 0, 0, false, 0.0);
-        let mut job = Job { req, attempt, slice, writes, work, finish_by: Time::MAX, answer, its_try };
+        let (req, attempt, try_number, slice, writes, work) = (0, 0, 0, 0, false, 0.0);
+        let mut job = Job { req, attempt, slice, writes, work, finish_by: Time::MAX, answer, try_number };
         while let Some((tag, mut field)) = body.field()? {
             match tag {
                 tag::ID => (job.req, job.attempt) = (field.number()?, field.number()?),
@@ -280,7 +280,7 @@
                 tag::FORWARDER => forwarder = field.number()?,
                 tag::SLICE => job.slice = field.number()?,
                 tag::WRITES => job.writes = field.number()? != 0,
-                tag::TRY => job.its_try = field.number()?,
+                tag::TRY => job.try_number = field.number()?,
                 _ => {}
             }
         }
@@ -288,8 +288,8 @@
         let ills = self.ills.borrow().clone();
         let fails = ills.failing > 0.0
             && ills.failing_kind.is_none_or(|failing| failing == kind)
-            && self.chance.borrow_mut().f64() < ills.failing;
-        let turned = if now > start_by {
+            && self.rng.borrow_mut().f64() < ills.failing;
+        let rejection = if now > start_by {
             Some(status::LATE)
         } else if self.draining.get() || self.waiting.borrow().len() >= self.model.queue {
             Some(status::FULL)
@@ -298,7 +298,7 @@
         } else {
             None
         };
-        if let Some(status) = turned {
+        if let Some(status) = rejection {
             let (server, req, slice, writes) = (self.id.clone(), job.req, job.slice, job.writes);
             self.capture.note(|at| Event::Turned { at, server, req, slice, writes, forwarder, status });
             if !(fails && ills.silent && status == status::ERRORED) {
@@ -310,33 +310,33 @@
             (self.id.clone(), job.req, job.attempt, job.slice, job.writes);
         let until = job.finish_by;
         self.capture.note(|at| Event::Took { at, server, req, attempt, slice, writes, forwarder, until });
-        if self.pushed_over(now, job.work) {
+        if self.record_overload(now, job.work) {
             self.capture.note(|at| Event::Fell { at, server: self.id.clone(), boot: self.boot.get() });
-            self.fallen.set(true);
+            self.crashed.set(true);
             // Stopping aborts this task, so it is left to another.
             let server = self.clone();
             spawn_local(async move { server.die() });
             return Ok(());
         }
         self.waiting.borrow_mut().push_back(job);
-        self.work_on();
+        self.start_jobs();
         Ok(())
     }
 
     /// Counts received work; returns true if it is more than a cold server can take.
-    fn pushed_over(&self, now: Time, work: f64) -> bool {
-        let (model, present) = (&self.model, self.present(now));
-        let mut brought = self.brought.borrow_mut();
-        brought.push_back((now, work));
-        while brought.front().is_some_and(|&(at, _)| now - at > model.fall_for) {
-            brought.pop_front();
+    fn record_overload(&self, now: Time, work: f64) -> bool {
+        let (model, capacity_share) = (&self.model, self.capacity_share(now));
+        let mut received_work = self.received_work.borrow_mut();
+        received_work.push_back((now, work));
+        while received_work.front().is_some_and(|&(at, _)| now - at > model.fall_for) {
+            received_work.pop_front();
         }
         let window = model.fall_for as f64 / SECOND as f64;
-        let bears = model.fall_multiple * present * model.cores as f64 * model.speed * window;
-        present < 1.0 && brought.iter().map(|(_, work)| work).sum::<f64>() > bears
+        let capacity = model.fall_multiple * capacity_share * model.cores as f64 * model.speed * window;
+        capacity_share < 1.0 && received_work.iter().map(|(_, work)| work).sum::<f64>() > capacity
     }
 
-    fn work_on(self: &Rc<Server>) {
+    fn start_jobs(self: &Rc<Server>) {
         while self.busy.get() < self.model.cores {
             let Some(job) = self.waiting.borrow_mut().pop_front() else { return };
             let now = self.capture.now();
@@ -344,25 +344,25 @@
                 self.end(&job, false);
                 continue;
             }
-            self.account(now);
+            self.add_busy_time(now);
             self.busy.set(self.busy.get() + 1);
-            let seconds = job.work / (self.model.speed * self.present(now));
+            let seconds = job.work / (self.model.speed * self.capacity_share(now));
             let needs = (seconds * SECOND as f64) as Time;
-            let (server, life) = (self.clone(), self.life.get());
+            let (server, incarnation) = (self.clone(), self.incarnation.get());
             // Work that can't finish in time is cut off.
             let runs = needs.min(job.finish_by - now);
             spawn_local(async move {
                 tokio::time::sleep(duration(runs)).await;
-                server.unhung().await;
-                if life != server.life.get() {
+                server.wait_while_hung().await;
+                if incarnation != server.incarnation.get() {
                     return;
                 }
                 let now = server.capture.now();
-                server.account(now);
+                server.add_busy_time(now);
                 server.busy.set(server.busy.get() - 1);
                 // The time is checked again, as the server may have hung meanwhile.
                 server.end(&job, runs == needs && now <= job.finish_by);
-                server.work_on();
+                server.start_jobs();
             });
         }
     }
@@ -375,30 +375,30 @@
     }
 
     /// Adds the busy core seconds since the last call.
-    fn account(&self, now: Time) {
-        let (used, since) = self.used.get();
+    fn add_busy_time(&self, now: Time) {
+        let (busy_time, since) = self.busy_time.get();
         let span = (now - since) as f64 / SECOND as f64;
-        self.used.set((used + span * self.busy.get() as f64, now));
+        self.busy_time.set((busy_time + span * self.busy.get() as f64, now));
     }
 
     /// Returns the utilisation of its cores, sampled every half second.
     fn util(&self, now: Time) -> f64 {
-        self.account(now);
-        let (used, at, said) = self.reported.get();
+        self.add_busy_time(now);
+        let (busy_time, at, sample) = self.last_sample.get();
         if now - at < SECOND / 2 {
-            return said;
+            return sample;
         }
         let span = (now - at) as f64 / SECOND as f64;
-        let said = ((self.used.get().0 - used) / span / self.model.cores as f64).clamp(0.0, 1.0);
-        self.reported.set((self.used.get().0, now, said));
-        said
+        let sample = ((self.busy_time.get().0 - busy_time) / span / self.model.cores as f64).clamp(0.0, 1.0);
+        self.last_sample.set((self.busy_time.get().0, now, sample));
+        sample
     }
 
     fn answer(&self, job: &Job, status: u64) {
         let now = self.capture.now();
         let util = self.ills.borrow().says.unwrap_or_else(|| self.util(now));
         let body = Frame::new(RES)
-            .numbers(tag::TRY, &[job.its_try])
+            .numbers(tag::TRY, &[job.try_number])
             .numbers(tag::STATUS, &[status])
             .numbers(tag::UTIL, &[ravenspar_protocol::millionths(util)])
             .numbers(tag::NOW, &[now as u64])
--- a/crates/standin/src/store/memory.rs
+++ b/crates/standin/src/store/memory.rs
@@ -23,8 +23,9 @@
         let now = self.clock.now();
         let mut inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
         let (state, ends) = &mut *inner;
-        let over: Vec<u64> = ends.iter().filter(|(_, end)| now >= **end).map(|(lease, _)| *lease).collect();
-        for lease in over {
+        let expired: Vec<u64> =
+            ends.iter().filter(|(_, end)| now >= **end).map(|(lease, _)| *lease).collect();
+        for lease in expired {
             ends.remove(&lease);
             state.apply(&Order::Revoke { lease }.write());
         }
@@ -89,14 +90,14 @@
                     Ok(Committed::No { witness: found.map_or(0, |row| row.modified) })
                 }
                 Ok(Done::Lease(_)) => Err(Fault::Unknown("a lease in reply to a transaction".to_owned())),
-                Err(not) => Err(Fault::Refused(format!("{not:?}"))),
+                Err(rejection) => Err(Fault::Refused(format!("{rejection:?}"))),
             }
         })
     }
 
     fn grant(&self, lease: u64, seconds: u32) -> BoxFuture<'_, Result<u32, Fault>> {
         let made = self.lease(Order::Grant { lease, seconds });
-        Box::pin(async move { made.map_err(|not| Fault::Refused(format!("{not:?}"))) })
+        Box::pin(async move { made.map_err(|rejection| Fault::Refused(format!("{rejection:?}"))) })
     }
 
     fn renew(&self, lease: u64) -> BoxFuture<'_, Result<Option<u32>, Fault>> {
--- a/crates/standin/src/store/mvcc.rs
+++ b/crates/standin/src/store/mvcc.rs
@@ -29,14 +29,14 @@
     /// The time of the last call.
     now: Time,
     /// Changes of keys since the compaction, in order.
-    log: VecDeque<Done>,
+    log: VecDeque<KeyChange>,
     /// The revision up to which the log has been compacted.
     compacted: i64,
 }
 
 /// A key before and after a revision.
 #[derive(Clone, Debug)]
-struct Done {
+struct KeyChange {
     at: Time,
     revision: i64,
     key: Vec<u8>,
@@ -54,7 +54,7 @@
 }
 
 /// Maximum number of changes kept; older ones are compacted.
-const KEPT: usize = 200_000;
+const MAX_CHANGES: usize = 200_000;
 
 /// Why a call is refused, after the API's errors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -68,10 +68,10 @@
 }
 
 /// Maximum number of operations in a transaction: etcd's default (`--max-txn-ops`).
-const MOST_OPS: usize = 128;
+const MAX_TXN_OPS: usize = 128;
 
 /// Returns true if a key is in a range as the API defines it.
-fn inside(found: &[u8], key: &[u8], end: &[u8]) -> bool {
+fn in_range(found: &[u8], key: &[u8], end: &[u8]) -> bool {
     match end {
         [] => found == key,
         [0] => found >= key,
@@ -100,9 +100,9 @@
     /// Revokes expired leases. The keys of each are deleted at one revision.
     pub fn expire(&mut self, now: Time) {
         self.now = now;
-        let over: Vec<i64> =
+        let expired: Vec<i64> =
             self.leases.iter().filter(|(_, lease)| now >= lease.until).map(|(&id, _)| id).collect();
-        over.into_iter().for_each(|id| _ = self.revoke(id));
+        expired.into_iter().for_each(|id| _ = self.revoke(id));
     }
 
     /// Grants a lease and returns its id; id 0 lets the store choose one.
@@ -140,9 +140,9 @@
     }
 
     fn note(&mut self, revision: i64, key: &[u8], before: Option<KeyValue>, after: Option<KeyValue>) {
-        self.log.push_back(Done { at: self.now, revision, key: key.to_vec(), before, after });
-        if self.log.len() > KEPT {
-            self.compacted = self.log.pop_front().map_or(0, |done| done.revision);
+        self.log.push_back(KeyChange { at: self.now, revision, key: key.to_vec(), before, after });
+        if self.log.len() > MAX_CHANGES {
+            self.compacted = self.log.pop_front().map_or(0, |change| change.revision);
         }
     }
 
@@ -161,7 +161,7 @@
             return Err(Refusal::FutureRevision);
         }
         self.compacted = revision;
-        self.log.retain(|done| done.revision >= revision);
+        self.log.retain(|change| change.revision >= revision);
         Ok(())
     }
 
@@ -177,14 +177,14 @@
 
     /// Returns the changes after a revision, in order.
     pub fn changes_after(&self, revision: i64) -> Vec<Change> {
-        let change = |done: &Done| Change {
-            at: done.at,
-            revision: done.revision,
-            key: String::from_utf8_lossy(&done.key).into_owned(),
-            value: done.after.as_ref().map(|kv| String::from_utf8_lossy(&kv.value).into_owned()),
+        let to_change = |change: &KeyChange| Change {
+            at: change.at,
+            revision: change.revision,
+            key: String::from_utf8_lossy(&change.key).into_owned(),
+            value: change.after.as_ref().map(|kv| String::from_utf8_lossy(&kv.value).into_owned()),
         };
-        let from = self.log.partition_point(|done| done.revision <= revision);
-        self.log.range(from..).map(change).collect()
+        let from = self.log.partition_point(|change| change.revision <= revision);
+        self.log.range(from..).map(to_change).collect()
     }
 
     /// Returns the events of a range from a revision on, in order; `None` if that revision has been compacted.
@@ -192,15 +192,16 @@
         if from <= self.compacted {
             return None;
         }
-        let since = self.log.iter().skip_while(|done| done.revision < from);
-        let found = since.filter(|done| inside(&done.key, key, end));
-        let event = |done: &Done| {
-            let gone = KeyValue { key: done.key.clone(), mod_revision: done.revision, ..KeyValue::default() };
-            let kind = if done.after.is_some() { EventType::Put } else { EventType::Delete };
-            let kv = Some(done.after.clone().unwrap_or(gone));
-            (done.revision, Event { r#type: kind as i32, kv, prev_kv: done.before.clone() })
+        let since = self.log.iter().skip_while(|change| change.revision < from);
+        let found = since.filter(|change| in_range(&change.key, key, end));
+        let to_event = |change: &KeyChange| {
+            let gone =
+                KeyValue { key: change.key.clone(), mod_revision: change.revision, ..KeyValue::default() };
+            let kind = if change.after.is_some() { EventType::Put } else { EventType::Delete };
+            let kv = Some(change.after.clone().unwrap_or(gone));
+            (change.revision, Event { r#type: kind as i32, kv, prev_kv: change.before.clone() })
         };
-        Some(found.map(event).collect())
+        Some(found.map(to_event).collect())
     }
 
     /// Returns the keys of a range as they were at an earlier revision.
@@ -208,9 +209,10 @@
         let mut then: BTreeMap<&[u8], Option<&KeyValue>> =
             self.within(key, end).map(|kv| (kv.key.as_slice(), Some(kv))).collect();
         // The first change after the revision holds the key's state at it.
-        let later = self.log.iter().filter(|done| done.revision > revision && inside(&done.key, key, end));
-        for done in later.rev() {
-            then.insert(&done.key, done.before.as_ref());
+        let later =
+            self.log.iter().filter(|change| change.revision > revision && in_range(&change.key, key, end));
+        for change in later.rev() {
+            then.insert(&change.key, change.before.as_ref());
         }
         then.into_values().flatten().cloned().collect()
     }
@@ -218,7 +220,7 @@
     fn within<'a>(&'a self, key: &[u8], end: &[u8]) -> impl Iterator<Item = &'a KeyValue> {
         let (key, end) = (key.to_vec(), end.to_vec());
         let from = self.keys.range(key.clone()..);
-        from.take_while(move |(found, _)| inside(found, &key, &end)).map(|(_, kv)| kv)
+        from.take_while(move |(found, _)| in_range(found, &key, &end)).map(|(_, kv)| kv)
     }
 
     /// Reads a range, at an earlier revision if one is requested.
@@ -237,13 +239,13 @@
         } else {
             self.within(&request.key, &request.range_end).filter(newer).collect()
         };
-        let most = if request.limit > 0 { request.limit as usize } else { usize::MAX };
+        let limit = if request.limit > 0 { request.limit as usize } else { usize::MAX };
         let value = |kv: &KeyValue| if request.keys_only { Vec::new() } else { kv.value.clone() };
-        let shown = all.iter().take(if request.count_only { 0 } else { most });
+        let shown = all.iter().take(if request.count_only { 0 } else { limit });
         Ok(RangeResponse {
             header: Some(self.header()),
             kvs: shown.map(|kv| KeyValue { value: value(kv), ..(*kv).clone() }).collect(),
-            more: all.len() > most,
+            more: all.len() > limit,
             count: all.len() as i64,
         })
     }
@@ -277,7 +279,7 @@
         }
     }
 
-    fn holds(&self, compare: &Compare) -> bool {
+    fn compare_holds(&self, compare: &Compare) -> bool {
         let none = KeyValue::default();
         let kv = self.keys.get(&compare.key);
         // A missing key has no value to compare, and 0 for everything else.
@@ -302,7 +304,7 @@
     }
 
     /// Returns an error if any of the operations would be refused, in which case none of them is executed.
-    fn refuses(&self, operations: &[RequestOp]) -> Result<(), Refusal> {
+    fn check(&self, operations: &[RequestOp]) -> Result<(), Refusal> {
         let mut keys = BTreeSet::new();
         for operation in operations {
             match &operation.request {
@@ -326,19 +328,19 @@
     /// Executes a transaction in full or, if it is refused, not at all. Its writes share one revision.
     pub fn txn(&mut self, request: &TxnRequest) -> Result<TxnResponse, Refusal> {
         let sizes = [request.compare.len(), request.success.len(), request.failure.len()];
-        if sizes.into_iter().any(|size| size > MOST_OPS) {
+        if sizes.into_iter().any(|size| size > MAX_TXN_OPS) {
             return Err(Refusal::TooManyOps);
         }
-        let (mut response, wrote) = self.carry_out(request, self.revision + 1)?;
+        let (mut response, wrote) = self.execute(request, self.revision + 1)?;
         self.revision += i64::from(wrote);
         response.header = Some(self.header());
         Ok(response)
     }
 
-    fn carry_out(&mut self, request: &TxnRequest, revision: i64) -> Result<(TxnResponse, bool), Refusal> {
-        let succeeded = request.compare.iter().all(|compare| self.holds(compare));
+    fn execute(&mut self, request: &TxnRequest, revision: i64) -> Result<(TxnResponse, bool), Refusal> {
+        let succeeded = request.compare.iter().all(|compare| self.compare_holds(compare));
         let operations = if succeeded { &request.success } else { &request.failure };
-        self.refuses(operations)?;
+        self.check(operations)?;
         let (mut responses, mut wrote) = (Vec::new(), false);
         for RequestOp { request } in operations {
             let response = match request {
@@ -353,7 +355,7 @@
                     Response::ResponseDeleteRange(deleted)
                 }
                 Some(Request::RequestTxn(inner)) => {
-                    let (response, inner) = self.carry_out(inner, revision)?;
+                    let (response, inner) = self.execute(inner, revision)?;
                     wrote |= inner;
                     Response::ResponseTxn(response)
                 }
--- a/crates/standin/src/store/server.rs
+++ b/crates/standin/src/store/server.rs
@@ -57,7 +57,7 @@
     clock: Clock,
 }
 
-fn refused(refusal: Refusal) -> Status {
+fn refusal_status(refusal: Refusal) -> Status {
     match refusal {
         Refusal::LeaseNotFound => Status::not_found("etcdserver: requested lease not found"),
         Refusal::LeaseExists => Status::failed_precondition("etcdserver: lease already exists"),
@@ -173,7 +173,7 @@
     }
 
     /// Counts a call and applies the faults that concern every call.
-    pub(super) async fn enter(&self) -> Result<(), Status> {
+    pub(super) async fn begin_call(&self) -> Result<(), Status> {
         let (away, slow) = {
             let mut inner = self.lock();
             inner.requests += 1;
@@ -187,11 +187,11 @@
     }
 
     /// Executes one operation as a transaction of its own.
-    async fn one(&self, op: Op) -> Result<(Option<OpResponse>, ResponseHeader), Status> {
-        self.enter().await?;
+    async fn execute_one(&self, op: Op) -> Result<(Option<OpResponse>, ResponseHeader), Status> {
+        self.begin_call().await?;
         let request = TxnRequest { success: vec![RequestOp { request: Some(op) }], ..TxnRequest::default() };
         let mut inner = self.lock();
-        let answer = inner.mvcc.txn(&request).map_err(refused)?;
+        let answer = inner.mvcc.txn(&request).map_err(refusal_status)?;
         let header = inner.mvcc.header();
         Ok((answer.responses.into_iter().next().and_then(|op| op.response), header))
     }
@@ -200,12 +200,12 @@
 #[tonic::async_trait]
 impl Kv for Store {
     async fn range(&self, request: Request<RangeRequest>) -> Result<Response<RangeResponse>, Status> {
-        self.enter().await?;
-        Ok(Response::new(self.lock().mvcc.range(request.get_ref()).map_err(refused)?))
+        self.begin_call().await?;
+        Ok(Response::new(self.lock().mvcc.range(request.get_ref()).map_err(refusal_status)?))
     }
 
     async fn put(&self, request: Request<PutRequest>) -> Result<Response<PutResponse>, Status> {
-        match self.one(Op::RequestPut(request.into_inner())).await? {
+        match self.execute_one(Op::RequestPut(request.into_inner())).await? {
             (Some(OpResponse::ResponsePut(put)), header) => {
                 Ok(Response::new(PutResponse { header: Some(header), ..put }))
             }
@@ -217,7 +217,7 @@
         &self,
         request: Request<DeleteRangeRequest>,
     ) -> Result<Response<DeleteRangeResponse>, Status> {
-        match self.one(Op::RequestDeleteRange(request.into_inner())).await? {
+        match self.execute_one(Op::RequestDeleteRange(request.into_inner())).await? {
             (Some(OpResponse::ResponseDeleteRange(gone)), header) => {
                 Ok(Response::new(DeleteRangeResponse { header: Some(header), ..gone }))
             }
@@ -229,14 +229,14 @@
         &self,
         request: Request<CompactionRequest>,
     ) -> Result<Response<CompactionResponse>, Status> {
-        self.enter().await?;
+        self.begin_call().await?;
         let mut inner = self.lock();
-        inner.mvcc.compact(request.get_ref().revision).map_err(refused)?;
+        inner.mvcc.compact(request.get_ref().revision).map_err(refusal_status)?;
         Ok(Response::new(CompactionResponse { header: Some(inner.mvcc.header()) }))
     }
 
     async fn txn(&self, request: Request<TxnRequest>) -> Result<Response<TxnResponse>, Status> {
-        self.enter().await?;
+        self.begin_call().await?;
         let request = request.into_inner();
         let late = {
             let mut inner = self.lock();
@@ -253,7 +253,7 @@
             return Err(Status::unavailable("etcdserver: request timed out"));
         }
         let mut inner = self.lock();
-        let answer = inner.mvcc.txn(&request).map_err(refused)?;
+        let answer = inner.mvcc.txn(&request).map_err(refusal_status)?;
         inner.answer(answer)
     }
 }
@@ -264,11 +264,11 @@
         &self,
         request: Request<LeaseGrantRequest>,
     ) -> Result<Response<LeaseGrantResponse>, Status> {
-        self.enter().await?;
+        self.begin_call().await?;
         let LeaseGrantRequest { ttl, id } = request.into_inner();
         let now = self.clock.now();
         let mut inner = self.lock();
-        let id = inner.mvcc.grant(now, id, ttl).map_err(refused)?;
+        let id = inner.mvcc.grant(now, id, ttl).map_err(refusal_status)?;
         let header = Some(inner.mvcc.header());
         inner.answer(LeaseGrantResponse { header, id, ttl: ttl.max(1), error: String::new() })
     }
@@ -277,9 +277,9 @@
         &self,
         request: Request<LeaseRevokeRequest>,
     ) -> Result<Response<LeaseRevokeResponse>, Status> {
-        self.enter().await?;
+        self.begin_call().await?;
         let mut inner = self.lock();
-        inner.mvcc.revoke(request.get_ref().id).map_err(refused)?;
+        inner.mvcc.revoke(request.get_ref().id).map_err(refusal_status)?;
         Ok(Response::new(LeaseRevokeResponse { header: Some(inner.mvcc.header()) }))
     }
 
@@ -293,7 +293,7 @@
         let (store, mut requests) = (self.clone(), request.into_inner());
         tokio::spawn(async move {
             while let Ok(Some(LeaseKeepAliveRequest { id })) = requests.message().await {
-                let answer = store.enter().await.map(|()| {
+                let answer = store.begin_call().await.map(|()| {
                     let now = store.clock.now();
                     let mut inner = store.lock();
                     let ttl = inner.mvcc.renew(now, id);
--- a/crates/standin/src/store/watching.rs
+++ b/crates/standin/src/store/watching.rs
@@ -14,10 +14,10 @@
 use super::server::Store;
 
 /// Maximum number of events in a fragment, if fragments are requested.
-const FRAGMENT: usize = 100;
+const FRAGMENT_EVENTS: usize = 100;
 
 /// Interval at which watches poll for events.
-const LOOK: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 #[tonic::async_trait]
 impl Watch for Store {
@@ -27,7 +27,7 @@
         &self,
         request: Request<Streaming<WatchRequest>>,
     ) -> Result<Response<Self::WatchStream>, Status> {
-        self.enter().await?;
+        self.begin_call().await?;
         let (answers, queue) = mpsc::channel(16);
         tokio::spawn(watch(self.clone(), request.into_inner(), answers));
         Ok(Response::new(Box::pin(ReceiverStream::new(queue))))
@@ -47,8 +47,9 @@
         (from, inner.mvcc.compacted(), header)
     };
     let watch_id = create.watch_id;
-    let said = WatchResponse { header: Some(header), watch_id, created: true, ..WatchResponse::default() };
-    if answers.send(Ok(said.clone())).await.is_err() {
+    let response =
+        WatchResponse { header: Some(header), watch_id, created: true, ..WatchResponse::default() };
+    if answers.send(Ok(response.clone())).await.is_err() {
         return;
     }
     if next <= compacted {
@@ -58,17 +59,17 @@
             canceled: true,
             compact_revision: compacted,
             cancel_reason: why,
-            ..said
+            ..response
         };
         let _ = answers.send(Ok(canceled)).await;
         return;
     }
-    let mut look = tokio::time::interval(LOOK);
+    let mut poll = tokio::time::interval(POLL_INTERVAL);
     loop {
         tokio::select! {
             request = requests.message() => match request {
                 Ok(Some(WatchRequest { request_union: Some(RequestUnion::ProgressRequest(_)) })) => {
-                    if !tell(&store, &create, &mut next, &answers).await || !progress(&store, next, &answers).await {
+                    if !send_events(&store, &create, &mut next, &answers).await || !send_progress(&store, next, &answers).await {
                         return;
                     }
                 }
@@ -80,8 +81,8 @@
                 Ok(Some(_)) => {}
                 _ => return,
             },
-            _ = look.tick() => {
-                if !tell(&store, &create, &mut next, &answers).await {
+            _ = poll.tick() => {
+                if !send_events(&store, &create, &mut next, &answers).await {
                     return;
                 }
             }
@@ -90,16 +91,16 @@
 }
 
 /// Sends a progress notification: the revision up to which all events have been sent.
-async fn progress(store: &Store, next: i64, answers: &Answers) -> bool {
+async fn send_progress(store: &Store, next: i64, answers: &Answers) -> bool {
     let mut header = store.lock().mvcc.header();
     header.revision = header.revision.min(next.max(1) - 1).max(0);
     // The API's id for all watches of a stream.
-    let said = WatchResponse { header: Some(header), watch_id: -1, ..WatchResponse::default() };
-    answers.send(Ok(said)).await.is_ok()
+    let response = WatchResponse { header: Some(header), watch_id: -1, ..WatchResponse::default() };
+    answers.send(Ok(response)).await.is_ok()
 }
 
 /// Sends the events since the last call; returns false if the watch has ended.
-async fn tell(store: &Store, create: &WatchCreateRequest, next: &mut i64, answers: &Answers) -> bool {
+async fn send_events(store: &Store, create: &WatchCreateRequest, next: &mut i64, answers: &Answers) -> bool {
     let (events, header, compacted) = {
         let inner = store.lock();
         if inner.faults.away {
@@ -108,23 +109,24 @@
         let events = inner.mvcc.events(&create.key, &create.range_end, *next);
         (events, inner.mvcc.header(), inner.mvcc.compacted())
     };
-    let said = WatchResponse { header: Some(header), watch_id: create.watch_id, ..WatchResponse::default() };
+    let response =
+        WatchResponse { header: Some(header), watch_id: create.watch_id, ..WatchResponse::default() };
     let Some(events) = events else {
         let why = "etcdserver: mvcc: required revision has been compacted".to_owned();
         let canceled =
-            WatchResponse { canceled: true, compact_revision: compacted, cancel_reason: why, ..said };
+            WatchResponse { canceled: true, compact_revision: compacted, cancel_reason: why, ..response };
         let _ = answers.send(Ok(canceled)).await;
         return false;
     };
     *next = (*next).max(header.revision + 1);
-    let size = if create.fragment { FRAGMENT } else { usize::MAX };
+    let size = if create.fragment { FRAGMENT_EVENTS } else { usize::MAX };
     let count = events.len().div_ceil(size);
     for (at, part) in events.chunks(size.min(events.len().max(1))).enumerate() {
         let mut part: Vec<_> = part.iter().map(|(_, event)| event.clone()).collect();
         if !create.prev_kv {
             part.iter_mut().for_each(|event| event.prev_kv = None);
         }
-        let fragment = WatchResponse { events: part, fragment: at + 1 < count, ..said.clone() };
+        let fragment = WatchResponse { events: part, fragment: at + 1 < count, ..response.clone() };
         if answers.send(Ok(fragment)).await.is_err() {
             return false;
         }
--- a/crates/standin/src/wire.rs
+++ b/crates/standin/src/wire.rs
@@ -6,7 +6,7 @@
 pub const GREETING: u8 = 66;
 
 /// Maximum size of a frame.
-pub const MOST: usize = 1024;
+pub const MAX_FRAME_BYTES: usize = 1024;
 
 /// Tags of the fields in a frame.
 pub mod tag {
@@ -17,7 +17,7 @@
     /// Work, in microseconds of one core at speed 1.
     pub const WORK: u8 = 4;
     /// How long the client still waits, as a `Time`.
-    pub const WAITS: u8 = 5;
+    pub const TIMEOUT: u8 = 5;
     /// The time by the plan server's clock after which it must not accept the req.
     pub const START_BY: u8 = 6;
     /// The time by the plan server's clock at which the req must have ended, done or failed.
--- a/crates/standin/tests/keeps.rs
+++ b/crates/standin/tests/keeps.rs
@@ -1,5 +1,5 @@
-//! What stewards ask of a store, the same cases on each that keeps the trait: etcd's API through sockets, and the state of
-//! the replicated log.
+//! The contract of a store, tested on each implementation: etcd's API over sockets, and the state machine of the
+//! replicated log.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,22 +7,24 @@
 use ravenspar_standin::store::{Memory, Store};
 use ravenspar_store::{at, delete, put, there, under, Committed, Fault, Guarded, Hand, Shared, Stop};
 
+/// Runs a test case on each implementation.
 fn on_each(case: impl AsyncFn(Shared)) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime is built");
     runtime.block_on(async {
         case(Arc::new(Memory::default())).await;
-        let address = Store::new(1).listen().await.expect("it listens");
+        let address = Store::new(1).listen().await.expect("the store listens");
         let client = ravenspar_etcd::Client::new(&[format!("http://{address}")], Duration::from_secs(5), 1);
-        case(Arc::new(client.expect("an endpoint"))).await;
+        case(Arc::new(client.expect("the endpoint is valid"))).await;
     });
 }
 
 fn keys(rows: &[ravenspar_store::Row]) -> Vec<&str> {
-    rows.iter().map(|row| std::str::from_utf8(&row.key).expect("text")).collect()
+    rows.iter().map(|row| std::str::from_utf8(&row.key).expect("the key is UTF-8")).collect()
 }
 
 #[test]
-fn ranges_are_read_at_one_revision_and_by_what_changed_since() {
+fn ranges_are_read_at_one_revision_and_filtered_by_the_revision_of_change() {
     on_each(async |store| {
         store.grant(9, 30).await.expect("granted");
         let mut hand = Hand::new(store.clone(), 9, b"w".to_vec());
@@ -47,12 +49,12 @@
 }
 
 #[test]
-fn a_transaction_is_carried_out_where_all_that_is_compared_is_so() {
+fn a_transaction_is_committed_only_if_all_its_comparisons_hold() {
     on_each(async |store| {
         store.grant(9, 30).await.expect("granted");
         let mut hand = Hand::new(store.clone(), 9, b"w".to_vec());
         let put_k = |value: &str| vec![put(b"k".to_vec(), value.into(), 0)];
-        // Not the first thing that a hand writes, either: it is told so and may go on.
+        // A failed comparison, also in the first commit, is reported and the writer can go on.
         assert_eq!(hand.commit(vec![there(b"k".to_vec())], put_k("no")).await, Err(Stop::Not));
         let first = hand.commit(vec![at(b"k".to_vec(), 0)], put_k("one")).await.expect("written");
         assert_eq!(hand.commit(vec![at(b"k".to_vec(), 0)], put_k("no")).await, Err(Stop::Not));
@@ -65,7 +67,7 @@
 }
 
 #[test]
-fn what_is_written_by_an_old_witness_has_no_effect() {
+fn a_commit_with_an_outdated_witness_has_no_effect() {
     on_each(async |store| {
         let guarded = |revision: u64, value: &str| Guarded {
             witness: b"w".to_vec(),
@@ -88,14 +90,14 @@
 }
 
 #[test]
-fn keys_go_with_their_lease_and_nothing_is_written_by_a_hand_whose_lease_is_over() {
+fn keys_expire_with_their_lease_and_a_writer_with_an_expired_lease_writes_nothing() {
     on_each(async |store| {
         assert_eq!(store.grant(9, 1).await, Ok(1));
         assert!(matches!(store.grant(9, 1).await, Err(Fault::Refused(_))));
         let mut hand = Hand::new(store.clone(), 9, b"w".to_vec());
         hand.commit(Vec::new(), vec![put(b"m".to_vec(), Vec::new(), 9)]).await.expect("written");
         assert_eq!(store.renew(9).await, Ok(Some(1)));
-        // Waits for the store's own clock to end it.
+        // Wait until the lease expires by the store's clock.
         while !store.read(vec![under(b"m".to_vec(), 0)]).await.expect("read").ranges[0].is_empty() {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
--- a/crates/standin/tests/store.rs
+++ b/crates/standin/tests/store.rs
@@ -1,4 +1,4 @@
-//! The store's stand-in keeps to the API, and the client to what it promises, through sockets and faults.
+//! Tests the stand-in against etcd's API, and the client against its contract, over sockets and with injected faults.
 
 use std::time::{Duration, Instant};
 
@@ -21,41 +21,44 @@
 }
 
 #[test]
-fn revisions_versions_and_transactions_are_as_the_api_says() {
+fn revisions_versions_and_transactions_follow_the_api() {
     let mut store = Mvcc::new(7);
     assert_eq!(store.header().revision, 1);
-    // One revision a transaction, whatever it writes.
-    let answer = store.txn(&puts(vec![put("a/1", "x", 0), put("a/2", "y", 0)])).expect("carried out");
-    assert_eq!(answer.header.expect("a header").revision, 2);
-    store.txn(&puts(vec![put("a/1", "z", 0)])).expect("carried out");
-    let found = store.range(&all("a/")).expect("read");
+    // A transaction takes one revision, however much it writes.
+    let answer =
+        store.txn(&puts(vec![put("a/1", "x", 0), put("a/2", "y", 0)])).expect("the transaction is executed");
+    assert_eq!(answer.header.expect("the response has a header").revision, 2);
+    store.txn(&puts(vec![put("a/1", "z", 0)])).expect("the transaction is executed");
+    let found = store.range(&all("a/")).expect("the range is read");
     let rows: Vec<_> = found.kvs.iter().map(|kv| (kv.create_revision, kv.mod_revision, kv.version)).collect();
     assert_eq!(rows, [(2, 3, 2), (2, 2, 1)]);
-    // A refused operation undoes those before it, and a transaction that only reads has no revision.
+    // A refused operation rolls back those before it, and a read-only transaction takes no revision.
     assert!(store.txn(&puts(vec![put("a/1", "w", 0), put("a/3", "w", 99)])).is_err());
     let read = RequestOp { request: Some(request_op::Request::RequestRange(all("a/"))) };
-    store.txn(&puts(vec![read])).expect("carried out");
-    let found = store.range(&all("a/")).expect("read");
-    assert_eq!((found.header.expect("a header").revision, found.count), (3, 2));
+    store.txn(&puts(vec![read])).expect("the transaction is executed");
+    let found = store.range(&all("a/")).expect("the range is read");
+    assert_eq!((found.header.expect("the response has a header").revision, found.count), (3, 2));
     assert_eq!(found.kvs[0].value, b"z");
     let page = RangeRequest { limit: 1, ..all("a/") };
-    let page = store.range(&page).expect("read");
+    let page = store.range(&page).expect("the range is read");
     assert_eq!((page.kvs.len(), page.more, page.count), (1, true, 2));
-    assert!(store.range(&RangeRequest { revision: 9, ..all("a/") }).is_err(), "a revision to come");
+    assert!(store.range(&RangeRequest { revision: 9, ..all("a/") }).is_err(), "a future revision was read");
 }
 
 #[test]
-fn a_lease_that_runs_out_takes_its_keys_at_one_revision() {
+fn an_expired_lease_deletes_its_keys_at_one_revision() {
     let mut store = Mvcc::new(7);
     store.grant(0, 5, 2).expect("granted");
-    assert!(store.grant(0, 5, 2).is_err(), "it is there already");
-    store.txn(&puts(vec![put("m/1", "", 5), put("m/2", "", 5), put("m/3", "", 0)])).expect("carried out");
+    assert!(store.grant(0, 5, 2).is_err(), "a lease was granted twice");
+    store
+        .txn(&puts(vec![put("m/1", "", 5), put("m/2", "", 5), put("m/3", "", 0)]))
+        .expect("the transaction is executed");
     assert_eq!(store.renew(SECOND, 5), 2);
     store.expire(3 * SECOND - 1);
-    assert_eq!(store.range(&all("m/")).expect("read").count, 3);
+    assert_eq!(store.range(&all("m/")).expect("the range is read").count, 3);
     store.expire(3 * SECOND);
-    let found = store.range(&all("m/")).expect("read");
-    assert_eq!((found.count, found.header.expect("a header").revision), (1, 3));
+    let found = store.range(&all("m/")).expect("the range is read");
+    assert_eq!((found.count, found.header.expect("the response has a header").revision), (1, 3));
     assert_eq!(store.renew(3 * SECOND, 5), 0);
 }
 
@@ -65,88 +68,92 @@
 }
 
 async fn client(store: &Store) -> Client {
-    let address = store.listen().await.expect("it listens");
-    // The first endpoint is nobody's: calls go on to the next.
+    let address = store.listen().await.expect("the store listens");
+    // Nothing listens on the first endpoint: calls go to the next.
     let endpoints = ["http://127.0.0.1:1".to_owned(), format!("http://{address}")];
-    Client::new(&endpoints, Duration::from_millis(300), 1).expect("endpoints")
+    Client::new(&endpoints, Duration::from_millis(300), 1).expect("the endpoints are valid")
 }
 
 fn run(test: impl std::future::Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime is built");
     runtime.block_on(test);
 }
 
 #[test]
-fn a_read_goes_to_the_next_endpoint() {
+fn a_read_fails_over_to_the_next_endpoint() {
     run(async {
         let store = Store::new(1);
         let client = client(&store).await;
-        assert_eq!(client.range(all("x")).await.expect("read").count, 0);
+        assert_eq!(client.range(all("x")).await.expect("the range is read").count, 0);
     });
 }
 
 #[test]
-fn a_transaction_whose_answer_is_lost_is_known_to_be_done() {
+fn a_transaction_with_a_lost_response_is_found_committed() {
     run(async {
         let store = Store::new(1);
         let client = client(&store).await;
-        client.range(all("x")).await.expect("read");
+        client.range(all("x")).await.expect("the range is read");
         let Ok(Committed::Yes { witness }) = client.commit(&guarded(0, "one", "k"), 4).await else {
-            panic!("the first was not carried out")
+            panic!("the first transaction was not committed")
         };
         store.set_faults(Faults { lose_answers: 1, ..Faults::default() });
         let committed = client.commit(&guarded(witness, "two", "k"), 4).await;
         assert_eq!(committed, Ok(Committed::Yes { witness: witness + 1 }));
         assert_eq!(store.get(b"k"), Some((b"two".to_vec(), witness as i64 + 1)));
-        // A witness that has moved: not carried out, and its revision is told.
+        // The witness has changed: the transaction is not executed, and the witness's revision is returned.
         let committed = client.commit(&guarded(witness, "three", "k"), 4).await;
         assert_eq!(committed, Ok(Committed::No { witness: witness + 1 }));
     });
 }
 
-/// Guards against a transaction that is carried out after its writer was told that it was not.
+/// Guards against a transaction that is executed after its writer was informed that it was not.
 #[test]
-fn a_transaction_that_comes_late_has_no_effect_once_it_is_given_up() {
+fn a_late_transaction_has_no_effect_after_it_was_given_up() {
     run(async {
         let store = Store::new(1);
         let client = client(&store).await;
-        client.range(all("x")).await.expect("read");
+        client.range(all("x")).await.expect("the range is read");
         let late_by = Duration::from_millis(400);
         store.set_faults(Faults { late: 1, late_by, ..Faults::default() });
         let committed = client.commit(&guarded(0, "one", "k"), 4).await;
         assert!(matches!(committed, Ok(Committed::No { .. })), "{committed:?}");
         assert_eq!(store.get(b"k"), None);
         tokio::time::sleep(2 * late_by).await;
-        assert_eq!(store.get(b"k"), None, "it came after all");
+        assert_eq!(store.get(b"k"), None, "the late transaction was executed");
     });
 }
 
 #[test]
-fn a_slow_store_and_one_that_is_away() {
+fn a_slow_and_an_unavailable_store_fail_calls_until_they_recover() {
     run(async {
         let store = Store::new(1);
         let client = client(&store).await;
-        client.range(all("x")).await.expect("read");
-        // Slower than the deadline: nothing is known of the transaction, nor of its fences.
+        client.range(all("x")).await.expect("the range is read");
+        // Slower than the deadline: the outcome of the transaction and of its fences is unknown.
         store.set_faults(Faults { slow: Duration::from_millis(700), ..Faults::default() });
         assert!(matches!(client.commit(&guarded(0, "one", "k"), 1).await, Err(Fault::Unknown(_))));
         store.set_faults(Faults { away: true, ..Faults::default() });
         let began = Instant::now();
         assert!(client.range(all("x")).await.is_err());
-        assert!(began.elapsed() < Duration::from_secs(20), "retries have an end");
+        assert!(began.elapsed() < Duration::from_secs(20), "retries took longer than 20 s");
         store.set_faults(Faults::default());
         assert!(client.range(all("x")).await.is_ok());
     });
 }
 
 #[test]
-fn leases_are_granted_once_renewed_and_lost() {
+fn leases_are_granted_once_renewed_and_revoked() {
     run(async {
         let store = Store::new(1);
         let client = client(&store).await;
         store.set_faults(Faults { lose_answers: 1, ..Faults::default() });
-        assert_eq!(client.lease_grant(77, 5).await, Ok(5), "the repeat finds its own");
-        assert!(matches!(client.lease_grant(77, 5).await, Err(Fault::Refused(_))), "somebody else's");
+        assert_eq!(client.lease_grant(77, 5).await, Ok(5), "the retry didn't find its own lease");
+        assert!(
+            matches!(client.lease_grant(77, 5).await, Err(Fault::Refused(_))),
+            "another client's lease was granted again"
+        );
         assert_eq!(client.keep_alive(77).await, Ok(Some(5)));
         store.lose_lease(77);
         assert_eq!(client.keep_alive(77).await, Ok(None));
