--- a/crates/standin/src/agent/runs.rs
+++ b/crates/standin/src/agent/runs.rs
@@ -129,15 +129,15 @@
         }
     };
     let open = Call::Open { site: site.clone(), job: job.to_owned(), token };
-    let mut landed = call(open).await?;
+    let mut applied = call(open).await?;
     if spec.poison {
         std::process::abort();
     }
-    while landed < spec.steps {
+    while applied < spec.steps {
         sleep(Duration::from_millis(spec.step_ms)).await;
         update_usage(agent, job, token, began);
-        let step = Call::Step { site: site.clone(), job: job.to_owned(), token, step: landed };
-        landed = call(step).await?;
+        let step = Call::Step { site: site.clone(), job: job.to_owned(), token, step: applied };
+        applied = call(step).await?;
     }
     Ok(if spec.fails { Ended::Failed("it fails".to_owned()) } else { Ended::Done })
 }
--- a/crates/standin/src/effects.rs
+++ b/crates/standin/src/effects.rs
@@ -53,7 +53,7 @@
 
 struct Inner {
     taker: Taker<String>,
-    landed: BTreeMap<String, u64>,
+    applied: BTreeMap<String, u64>,
     landings: Vec<Landing>,
     /// Fault: it remembers neither tokens nor steps.
     forgets: bool,
@@ -69,7 +69,7 @@
     pub fn new(jobs: usize, forgets: bool, now: impl Fn() -> Time + 'static) -> Effects {
         Effects(Rc::new(RefCell::new(Inner {
             taker: Taker::new(jobs),
-            landed: BTreeMap::new(),
+            applied: BTreeMap::new(),
             landings: Vec::new(),
             forgets,
             now: Box::new(now),
@@ -99,28 +99,28 @@
         let mut frames = Framed::new(socket, codec(MOST));
         while let Some(Ok(body)) = frames.next().await {
             let Ok(call) = serde_json::from_slice(&body) else { return };
-            let answer = serde_json::to_vec(&self.take(call)).unwrap_or_default();
+            let answer = serde_json::to_vec(&self.handle_call(call)).unwrap_or_default();
             if frames.send(Bytes::from(answer)).await.is_err() {
                 return;
             }
         }
     }
 
-    fn take(&self, call: Call) -> Answer {
+    fn handle_call(&self, call: Call) -> Answer {
         let inner = &mut *self.0.borrow_mut();
         let (job, token) = match &call {
             Call::Open { job, token, .. } | Call::Step { job, token, .. } => (job.clone(), *token),
         };
         let refused = if inner.forgets { None } else { inner.taker.take(job.clone(), token).err() };
-        let landed = inner.landed.entry(job).or_default();
+        let applied = inner.applied.entry(job).or_default();
         let mut effect = false;
         let answer = match (refused, &call) {
             (Some(refused), _) => Answer::Refused(refused.holds),
-            (None, Call::Open { .. }) => Answer::Landed(if inner.forgets { 0 } else { *landed }),
+            (None, Call::Open { .. }) => Answer::Landed(if inner.forgets { 0 } else { *applied }),
             (None, Call::Step { step, .. }) => {
-                effect = inner.forgets || *step == *landed;
-                *landed = (*landed).max(step + 1);
-                Answer::Landed(*landed)
+                effect = inner.forgets || *step == *applied;
+                *applied = (*applied).max(step + 1);
+                Answer::Landed(*applied)
             }
         };
         let at = (inner.now)();
--- a/crates/standin/src/platform/discovery.rs
+++ b/crates/standin/src/platform/discovery.rs
@@ -71,7 +71,7 @@
     called: Arc<Notify>,
     /// Notified to stop accepting connections at this address.
     closing: Arc<Notify>,
-    _serving: JoinSet<()>,
+    _accept_task: JoinSet<()>,
 }
 
 fn locked(state: &Mutex<State>) -> MutexGuard<'_, State> {
@@ -89,15 +89,15 @@
     pub async fn start(hosts: &[&str]) -> std::io::Result<Discovery> {
         let hosts = hosts.iter().map(|id| host(id, "active")).collect();
         let state = Arc::new(Mutex::new(State { version: 1, hosts, ..State::default() }));
-        Discovery::serving(state, Arc::new(Notify::new()), Arc::new(Notify::new())).await
+        Discovery::listen(state, Arc::new(Notify::new()), Arc::new(Notify::new())).await
     }
 
     /// Serves the same list at one more address.
     pub async fn also(&self) -> std::io::Result<Discovery> {
-        Discovery::serving(self.state.clone(), self.changed.clone(), self.called.clone()).await
+        Discovery::listen(self.state.clone(), self.changed.clone(), self.called.clone()).await
     }
 
-    async fn serving(
+    async fn listen(
         state: Arc<Mutex<State>>,
         changed: Arc<Notify>,
         called: Arc<Notify>,
@@ -105,9 +105,9 @@
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let closing = Arc::new(Notify::new());
-        let mut serving = JoinSet::new();
-        serving.spawn(accept(listener, closing.clone(), state.clone(), changed.clone(), called.clone()));
-        Ok(Discovery { address, state, changed, called, closing, _serving: serving })
+        let mut accept_task = JoinSet::new();
+        accept_task.spawn(accept(listener, closing.clone(), state.clone(), changed.clone(), called.clone()));
+        Ok(Discovery { address, state, changed, called, closing, _accept_task: accept_task })
     }
 
     /// Stops accepting connections at this address; open ones continue until this is dropped.
@@ -211,7 +211,7 @@
     changed: Arc<Notify>,
     called: Arc<Notify>,
 ) {
-    let mut streams = JoinSet::new();
+    let mut connections = JoinSet::new();
     loop {
         let socket = tokio::select! {
             accepted = listener.accept() => match accepted {
@@ -222,18 +222,18 @@
         };
         let (state, changed, called) = (state.clone(), changed.clone(), called.clone());
         locked(&state).connections += 1;
-        streams.spawn(async move {
+        connections.spawn(async move {
             let service = service_fn(move |request| {
                 locked(&state).calls += 1;
                 called.notify_waiters();
                 answer(request, state.clone(), changed.clone())
             });
-            let serving = hyper::server::conn::http1::Builder::new();
-            drop(serving.serve_connection(TokioIo::new(socket), service).await);
+            let http = hyper::server::conn::http1::Builder::new();
+            drop(http.serve_connection(TokioIo::new(socket), service).await);
         });
     }
     drop(listener);
-    while streams.join_next().await.is_some() {}
+    while connections.join_next().await.is_some() {}
 }
 
 type Answer = Response<BoxBody<Bytes, std::io::Error>>;
--- a/crates/standin/src/platform/relay.rs
+++ b/crates/standin/src/platform/relay.rs
@@ -102,15 +102,15 @@
 /// A relay at one address.
 pub struct Relay {
     pub address: SocketAddr,
-    said: Arc<Mutex<Said>>,
+    state: Arc<Mutex<Said>>,
     changed: Arc<Notify>,
     /// Each permit releases one held answer.
     releases: Arc<Semaphore>,
-    _serving: JoinSet<()>,
+    _accept_task: JoinSet<()>,
 }
 
-fn locked(said: &Mutex<Said>) -> MutexGuard<'_, Said> {
-    said.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+fn locked(state: &Mutex<Said>) -> MutexGuard<'_, Said> {
+    state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
 fn notification(method: &str, params: Value) -> String {
@@ -195,30 +195,30 @@
     /// Starts a relay whose slices, from 0 on, are all assigned to the steward and have this owner.
     pub async fn start(slices: u64, owner: &str, proxies: u64) -> std::io::Result<Relay> {
         let rows = (0..slices).map(|slice| (slice, Some((owner.to_owned(), 1.0)))).collect();
-        let said = Said { rows, proxies: (0..proxies).collect(), ..Said::default() };
-        Relay::serving(Arc::new(Mutex::new(said)), Arc::new(Notify::new()), Arc::new(Semaphore::new(0))).await
+        let state = Said { rows, proxies: (0..proxies).collect(), ..Said::default() };
+        Relay::listen(Arc::new(Mutex::new(state)), Arc::new(Notify::new()), Arc::new(Semaphore::new(0))).await
     }
 
-    async fn serving(
-        said: Arc<Mutex<Said>>,
+    async fn listen(
+        state: Arc<Mutex<Said>>,
         changed: Arc<Notify>,
         releases: Arc<Semaphore>,
     ) -> std::io::Result<Relay> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let mut serving = JoinSet::new();
-        serving.spawn(accept(listener, said.clone(), changed.clone(), releases.clone()));
-        Ok(Relay { address, said, changed, releases, _serving: serving })
+        let mut accept_task = JoinSet::new();
+        accept_task.spawn(accept(listener, state.clone(), changed.clone(), releases.clone()));
+        Ok(Relay { address, state, changed, releases, _accept_task: accept_task })
     }
 
     /// Serves the same state at one more address.
     pub async fn also(&self) -> std::io::Result<Relay> {
-        Relay::serving(self.said.clone(), self.changed.clone(), self.releases.clone()).await
+        Relay::listen(self.state.clone(), self.changed.clone(), self.releases.clone()).await
     }
 
     /// Injects a fault into each of the next calls.
     pub fn befall(&self, faults: &[Fault]) {
-        locked(&self.said).faults.extend(faults);
+        locked(&self.state).faults.extend(faults);
     }
 
     /// Releases one held answer.
@@ -228,14 +228,14 @@
 
     /// Accesses the relay's state.
     pub fn with<T>(&self, look: impl FnOnce(&mut Said) -> T) -> T {
-        look(&mut locked(&self.said))
+        look(&mut locked(&self.state))
     }
 
     /// Disconnects all subscribers in the middle of a line.
     pub fn cut(&self) {
-        self.with(|said| {
+        self.with(|state| {
             let half = || Notification::Half(r#"{"jsonrpc":"2.0","method":"AC"#);
-            said.subscribers.drain(..).for_each(|subscriber| _ = subscriber.try_send(half()));
+            state.subscribers.drain(..).for_each(|subscriber| _ = subscriber.try_send(half()));
         });
     }
 
@@ -243,7 +243,7 @@
     pub async fn until(&self, condition: impl Fn(&Said) -> bool) {
         loop {
             let changed = self.changed.notified();
-            if self.with(|said| condition(said)) {
+            if self.with(|state| condition(state)) {
                 return;
             }
             changed.await;
@@ -253,13 +253,13 @@
 
 async fn accept(
     listener: TcpListener,
-    said: Arc<Mutex<Said>>,
+    state: Arc<Mutex<Said>>,
     changed: Arc<Notify>,
     releases: Arc<Semaphore>,
 ) {
-    let mut streams = JoinSet::new();
+    let mut connections = JoinSet::new();
     while let Ok((socket, _)) = listener.accept().await {
-        streams.spawn(serve(socket, said.clone(), changed.clone(), releases.clone()));
+        connections.spawn(serve(socket, state.clone(), changed.clone(), releases.clone()));
     }
 }
 
@@ -295,29 +295,29 @@
     }
 }
 
-async fn serve(socket: TcpStream, said: Arc<Mutex<Said>>, changed: Arc<Notify>, releases: Arc<Semaphore>) {
+async fn serve(socket: TcpStream, state: Arc<Mutex<Said>>, changed: Arc<Notify>, releases: Arc<Semaphore>) {
     let _ = socket.set_nodelay(true);
     let mut lines = Framed::new(socket, LinesCodec::new());
     while let Some(Ok(line)) = lines.next().await {
         let call: Value = serde_json::from_str(&line).unwrap_or_default();
         if call["method"] == "subscribe" {
-            return serve_subscription(lines, &call, said, changed).await;
+            return serve_subscription(lines, &call, state, changed).await;
         }
         let changes = call["params"]["changes"].as_array().cloned().unwrap_or_default();
         let (fault, executed) = {
-            let mut said = locked(&said);
-            said.calls += 1;
+            let mut state = locked(&state);
+            state.calls += 1;
             let id = call["id"].as_u64().unwrap_or(0);
             // A restarted process counts its calls from 1.
-            if id > 1 && id < said.latest_call {
-                said.calls_too_late += 1;
+            if id > 1 && id < state.latest_call {
+                state.calls_too_late += 1;
                 continue;
             }
-            said.latest_call = id;
-            let fault = said.faults.pop_front();
+            state.latest_call = id;
+            let fault = state.faults.pop_front();
             let executed = match fault {
                 Some(Fault::Lost | Fault::Throttled) => 0,
-                _ => said.execute(&changes),
+                _ => state.execute(&changes),
             };
             (fault, executed)
         };
@@ -342,20 +342,20 @@
 async fn serve_subscription(
     mut lines: Framed<TcpStream, LinesCodec>,
     call: &Value,
-    said: Arc<Mutex<Said>>,
+    state: Arc<Mutex<Said>>,
     changed: Arc<Notify>,
 ) {
     let (subscriber, mut queue) = mpsc::channel(SUBSCRIBER_QUEUE);
     let first = json!({"jsonrpc": "2.0", "id": call["id"], "result": true}).to_string();
-    let silent = locked(&said).silent_news;
+    let silent = locked(&state).silent_news;
     if silent {
         return std::future::pending().await;
     }
     let (snapshot, cut_after) = {
-        let mut said = locked(&said);
-        said.subscribers.push(subscriber);
-        said.subscriptions += 1;
-        (said.snapshot(), said.cut_after)
+        let mut state = locked(&state);
+        state.subscribers.push(subscriber);
+        state.subscriptions += 1;
+        (state.snapshot(), state.cut_after)
     };
     changed.notify_waiters();
     for line in [first].into_iter().chain(snapshot).take(cut_after.unwrap_or(usize::MAX)) {
