--- a/crates/standin/src/agent.rs
+++ b/crates/standin/src/agent.rs
@@ -81,7 +81,7 @@
     }
 
     /// Starts a new incarnation if this one's lease has expired; returns true if it did.
-    pub fn renew_incarnation_if_expired(&mut self) -> bool {
+    pub fn begin_incarnation_if_expired(&mut self) -> bool {
         let now = self.clock.now();
         // An incarnation without an acknowledged renewal may have had its lease granted and expired: after a whole lease
         // it isn't used again.
@@ -144,7 +144,7 @@
     let mut check = tokio::time::interval(std::time::Duration::from_millis(20));
     loop {
         check.tick().await;
-        let expired = agent.core.borrow_mut().renew_incarnation_if_expired();
+        let expired = agent.core.borrow_mut().begin_incarnation_if_expired();
         if expired {
             agent.send_due.notify_waiters();
         }
--- a/crates/standin/src/agent/disk.rs
+++ b/crates/standin/src/agent/disk.rs
@@ -42,6 +42,7 @@
 }
 
 impl Disk {
+    /// Opens an agent's log in its folder and recovers the state from it.
     pub fn open(dir: &Path, forgets: bool) -> io::Result<(Disk, Recovered)> {
         std::fs::create_dir_all(dir)?;
         let path = dir.join("agent.jsonl");
@@ -111,7 +112,7 @@
         }
     }
 
-    pub fn used(&mut self, token: u64, used: Time, job: &str) {
+    pub fn final_usage(&mut self, token: u64, used: Time, job: &str) {
         self.write(&Record::FinalUsage(token, used, job.to_owned()));
     }
 
--- a/crates/standin/src/agent/runs.rs
+++ b/crates/standin/src/agent/runs.rs
@@ -55,7 +55,7 @@
     let mut core = agent.core.borrow_mut();
     let used = (core.clock.now() - began) * core.options.lies as i64;
     core.used.insert((token, job.clone()), (used, true));
-    core.disk.used(token, used, &job);
+    core.disk.final_usage(token, used, &job);
     match ended {
         Ok(ended) => {
             core.disk.outcome(&job, token, &ended);
--- a/crates/standin/src/agent/streams.rs
+++ b/crates/standin/src/agent/streams.rs
@@ -140,10 +140,10 @@
 
 /// Returns a frame with the final usages and, with `all`, those of active runs too; `None` if there are none.
 fn usage_frame(core: &Core, all: bool) -> Option<Bytes> {
-    let uses = core.used.iter().filter(|(_, (_, last))| all || *last).take(MAX_BATCH);
+    let usages = core.used.iter().filter(|(_, (_, last))| all || *last).take(MAX_BATCH);
     let mut used = Frame::new(kind::USED);
     let empty = used.len();
-    for ((token, job), (amount, last)) in uses {
+    for ((token, job), (amount, last)) in usages {
         used.text(tag::USE, &[*token, *amount as u64, u64::from(*last)], job);
     }
     (used.len() > empty).then(|| used.finish())
--- a/crates/standin/src/capture.rs
+++ b/crates/standin/src/capture.rs
@@ -103,6 +103,7 @@
 }
 
 impl Capture {
+    /// Creates the file, or truncates an existing one.
     pub fn create(path: &Path, clock: Clock) -> io::Result<Capture> {
         let file = BufWriter::new(File::create(path)?);
         Ok(Capture(Rc::new(RefCell::new(Inner { clock, file, failed: false }))))
--- a/crates/standin/src/forwarder/mod.rs
+++ b/crates/standin/src/forwarder/mod.rs
@@ -60,7 +60,7 @@
     clock: Clock,
     rng: fastrand::Rng,
     table: Table,
-    pool: BTreeMap<SocketAddr, Rc<pool::Line>>,
+    pool: BTreeMap<SocketAddr, Rc<pool::Connection>>,
     away: BTreeMap<SocketAddr, (u32, Time)>,
     /// Observations by steward and that steward's number for the server.
     server_stats: BTreeMap<(usize, u64), ServerStats>,
@@ -186,10 +186,10 @@
                         return status::DENIED;
                     }
                 }
-                Pick::Server(line) => {
+                Pick::Server(connection) => {
                     drop(changed);
                     let Some(slice) = slice else { return status::DENIED };
-                    if let Some(status) = self.send(req, slice, &line, accepted_at).await {
+                    if let Some(status) = self.send(req, slice, &connection, accepted_at).await {
                         return status;
                     }
                 }
@@ -198,17 +198,24 @@
     }
 
     /// Sends a try and returns its status; `None` if the pick is no longer valid once connected.
-    async fn send(&self, req: &Req, slice: u64, line: &Rc<pool::Line>, accepted_at: Time) -> Option<u64> {
+    async fn send(
+        &self,
+        req: &Req,
+        slice: u64,
+        connection: &Rc<pool::Connection>,
+        accepted_at: Time,
+    ) -> Option<u64> {
         let left = duration(accepted_at + req.timeout - self.core.borrow().clock.now());
-        let ready = tokio::time::timeout(left, pool::ready(self, line)).await;
+        let ready = tokio::time::timeout(left, pool::ready(self, connection)).await;
         let began = self.core.borrow().clock.now();
         let Ok(Ok(())) = ready else {
-            self.record_result(slice, line.address, began, false, None);
+            self.record_result(slice, connection.address, began, false, None);
             return Some(status::ERRORED).filter(|_| ready.is_err()).or(Some(status::FULL));
         };
         let writes = {
             let mut core = self.core.borrow_mut();
-            if !matches!(core.pick(Some(slice), req), Pick::Server(now) if now.address == line.address) {
+            if !matches!(core.pick(Some(slice), req), Pick::Server(now) if now.address == connection.address)
+            {
                 return None;
             }
             core.table.writes(req.kind)
@@ -225,10 +232,10 @@
             // The lease's end goes along as the latest start: the plan server refuses a write that is delayed past it.
             let start_by = if writes { core.table.lease_until(slice) } else { accepted_at + req.timeout };
             let finish_by = if writes { accepted_at + core.table.settle } else { accepted_at + req.timeout };
-            line.send(&core, req, slice, writes, start_by, finish_by)
+            connection.send(&core, req, slice, writes, start_by, finish_by)
         };
         let Some(answer) = answer else {
-            self.record_result(slice, line.address, began, false, None);
+            self.record_result(slice, connection.address, began, false, None);
             return Some(status::FULL);
         };
         let answer = tokio::time::timeout(left, answer).await;
@@ -236,7 +243,7 @@
             Ok(Ok((status, util))) => (status, Some(util)),
             _ => (status::ERRORED, None),
         };
-        self.record_result(slice, line.address, began, status == status::DONE, util);
+        self.record_result(slice, connection.address, began, status == status::DONE, util);
         Some(status)
     }
 
@@ -280,7 +287,7 @@
 }
 
 enum Pick {
-    Server(Rc<pool::Line>),
+    Server(Rc<pool::Connection>),
     /// The slice has no server yet.
     Wait,
     Denied,
@@ -303,13 +310,13 @@
         if self.table.writes(req.kind) && (unleased || self.table.reads_only(slice)) {
             return Pick::Denied;
         }
-        let line = self.pool.entry(address).or_insert_with(|| Rc::new(pool::Line::new(address)));
-        Pick::Server(line.clone())
+        let connection = self.pool.entry(address).or_insert_with(|| Rc::new(pool::Connection::new(address)));
+        Pick::Server(connection.clone())
     }
 
     /// Maps a req to a number between 0 and 1 by a hash of its id, so that its retries are denied as well.
     fn hash_fraction(&self, req: &Req) -> f64 {
-        let mixed = (req.id ^ self.options.seed).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        (mixed >> 11) as f64 / (1u64 << 53) as f64
+        let hash = (req.id ^ self.options.seed).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        (hash >> 11) as f64 / (1u64 << 53) as f64
     }
 }
--- a/crates/standin/src/forwarder/pool.rs
+++ b/crates/standin/src/forwarder/pool.rs
@@ -18,13 +18,13 @@
 use crate::{duration, Clock, Time};
 
 /// Timeout for a connection to open and deliver the server's greeting.
-const CONNECT: Time = 4_000;
+const CONNECT_TIMEOUT: Time = 4_000;
 
 /// Status of a try and the server's utilisation.
 type Answer = (u64, f64);
 
-/// The connection to a plan server, or the lack of one.
-pub struct Line {
+/// A connection to a plan server, open or not.
+pub struct Connection {
     pub address: SocketAddr,
     open: RefCell<Option<Open>>,
     connecting: Cell<bool>,
@@ -40,9 +40,9 @@
     clock_sample: (Time, Time),
 }
 
-impl Line {
-    pub fn new(address: SocketAddr) -> Line {
-        Line {
+impl Connection {
+    pub fn new(address: SocketAddr) -> Connection {
+        Connection {
             address,
             open: RefCell::new(None),
             connecting: Cell::new(false),
@@ -53,7 +53,7 @@
 
     /// Queues a try; returns `None` if the connection has closed or its queue is full. Times are by the forwarder's clock.
     pub fn send(
-        self: &Rc<Line>,
+        self: &Rc<Connection>,
         core: &Core,
         req: &Req,
         slice: u64,
@@ -95,26 +95,26 @@
 }
 
 /// Waits until there is a connection; fails if it couldn't be opened.
-pub async fn ready(forwarder: &Forwarder, line: &Rc<Line>) -> Result<(), ()> {
-    if line.open.borrow().is_some() {
+pub async fn ready(forwarder: &Forwarder, connection: &Rc<Connection>) -> Result<(), ()> {
+    if connection.open.borrow().is_some() {
         return Ok(());
     }
-    if !line.connecting.replace(true) {
+    if !connection.connecting.replace(true) {
         let clock = forwarder.core.borrow().clock;
-        spawn_local(connect(clock, line.clone()));
+        spawn_local(connect(clock, connection.clone()));
     }
     loop {
-        let connect_done = line.connect_done.notified();
-        if !line.connecting.get() {
-            return if line.open.borrow().is_some() { Ok(()) } else { Err(()) };
+        let connect_done = connection.connect_done.notified();
+        if !connection.connecting.get() {
+            return if connection.open.borrow().is_some() { Ok(()) } else { Err(()) };
         }
         connect_done.await;
     }
 }
 
-async fn connect(clock: Clock, line: Rc<Line>) {
+async fn connect(clock: Clock, connection: Rc<Connection>) {
     let opening = async {
-        let socket = TcpStream::connect(line.address).await.ok()?;
+        let socket = TcpStream::connect(connection.address).await.ok()?;
         let _ = socket.set_nodelay(true);
         let (read, write) = socket.into_split();
         let mut read = FramedRead::new(read, codec(MAX_FRAME_BYTES));
@@ -128,21 +128,21 @@
         }
         Some((read, write, server_time))
     };
-    let opened = tokio::time::timeout(duration(CONNECT), opening).await.ok().flatten();
-    line.connecting.set(false);
+    let opened = tokio::time::timeout(duration(CONNECT_TIMEOUT), opening).await.ok().flatten();
+    connection.connecting.set(false);
     let Some((mut read, write, server_time)) = opened else {
-        return line.connect_done.notify_waiters();
+        return connection.connect_done.notify_waiters();
     };
     let (frames, mut queue) = mpsc::channel::<(u64, Bytes, Time)>(1024);
-    *line.open.borrow_mut() =
+    *connection.open.borrow_mut() =
         Some(Open { frames, pending: BTreeMap::new(), clock_sample: (server_time, clock.now()) });
-    line.connect_done.notify_waiters();
+    connection.connect_done.notify_waiters();
     let writer = async {
         let mut frames = FramedWrite::new(write, codec(MAX_FRAME_BYTES));
         while let Some((try_number, body, start_by)) = queue.recv().await {
             // Checked again right before it is sent.
             if clock.now() >= start_by {
-                line.answered(try_number, (status::LATE, 0.0));
+                connection.answered(try_number, (status::LATE, 0.0));
             } else if frames.send(body).await.is_err() {
                 return;
             }
@@ -151,10 +151,10 @@
     let reader = async {
         while let Some(Ok(body)) = read.next().await {
             let Some((try_number, answer, server_time)) = read_answer(&body) else { continue };
-            if let Some(open) = line.open.borrow_mut().as_mut() {
+            if let Some(open) = connection.open.borrow_mut().as_mut() {
                 open.clock_sample = (server_time, clock.now());
             }
-            line.answered(try_number, answer);
+            connection.answered(try_number, answer);
         }
     };
     tokio::select! {
@@ -162,7 +162,7 @@
         () = reader => {}
     }
     // Dropping the senders fails the pending tries.
-    line.open.borrow_mut().take();
+    connection.open.borrow_mut().take();
 }
 
 fn read_answer(body: &[u8]) -> Option<(u64, Answer, Time)> {
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -136,6 +136,7 @@
         self.boot.get()
     }
 
+    /// Returns false between a stop or crash and the next start.
     pub fn is_up(&self) -> bool {
         self.up.get()
     }
@@ -145,6 +146,7 @@
         self.draining.set(true);
     }
 
+    /// Replaces the injected faults.
     pub fn set_ills(&self, ills: Ills) {
         *self.ills.borrow_mut() = ills;
         self.faults_changed.notify_waiters();
@@ -193,8 +195,8 @@
         if self.boot.get() == 0 {
             return 1.0;
         }
-        let ramped = (now - self.boot.get()) as f64 / model.cold_for.max(1) as f64;
-        (model.cold_from + (1.0 - model.cold_from) * ramped).clamp(model.cold_from, 1.0)
+        let ramp = (now - self.boot.get()) as f64 / model.cold_for.max(1) as f64;
+        (model.cold_from + (1.0 - model.cold_from) * ramp).clamp(model.cold_from, 1.0)
     }
 
     fn listen(self: &Rc<Server>, listener: TcpListener) {
@@ -310,7 +312,7 @@
             (self.id.clone(), job.req, job.attempt, job.slice, job.writes);
         let until = job.finish_by;
         self.capture.note(|at| Event::Took { at, server, req, attempt, slice, writes, forwarder, until });
-        if self.record_overload(now, job.work) {
+        if self.exceeds_cold_capacity(now, job.work) {
             self.capture.note(|at| Event::Fell { at, server: self.id.clone(), boot: self.boot.get() });
             self.crashed.set(true);
             // Stopping aborts this task, so it is left to another.
@@ -324,7 +326,7 @@
     }
 
     /// Counts received work; returns true if it is more than a cold server can take.
-    fn record_overload(&self, now: Time, work: f64) -> bool {
+    fn exceeds_cold_capacity(&self, now: Time, work: f64) -> bool {
         let (model, capacity_share) = (&self.model, self.capacity_share(now));
         let mut received_work = self.received_work.borrow_mut();
         received_work.push_back((now, work));
--- a/crates/standin/src/store/mvcc.rs
+++ b/crates/standin/src/store/mvcc.rs
@@ -280,10 +280,10 @@
     }
 
     fn compare_holds(&self, compare: &Compare) -> bool {
-        let none = KeyValue::default();
+        let missing = KeyValue::default();
         let kv = self.keys.get(&compare.key);
         // A missing key has no value to compare, and 0 for everything else.
-        let found = kv.unwrap_or(&none);
+        let found = kv.unwrap_or(&missing);
         let order = match (compare.target(), &compare.target_union) {
             (CompareTarget::Version, Some(TargetUnion::Version(n))) => found.version.cmp(n),
             (CompareTarget::Create, Some(TargetUnion::CreateRevision(n))) => found.create_revision.cmp(n),
--- a/crates/standin/src/store/server.rs
+++ b/crates/standin/src/store/server.rs
@@ -83,6 +83,7 @@
         inner
     }
 
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: Faults) {
         self.lock().faults = faults;
     }
@@ -109,6 +110,7 @@
         self.lock().mvcc.changes_after(revision)
     }
 
+    /// Returns the current revision.
     pub fn revision(&self) -> i64 {
         self.lock().mvcc.header().revision
     }
@@ -133,6 +135,7 @@
         self.write_key(Op::RequestPut(put));
     }
 
+    /// Deletes a key.
     pub fn delete_key(&self, key: &str) {
         self.write_key(Op::RequestDeleteRange(DeleteRangeRequest { key: key.into(), ..Default::default() }));
     }
