--- a/crates/standin/tests/keeps.rs
+++ b/crates/standin/tests/keeps.rs
@@ -26,24 +26,26 @@
 #[test]
 fn ranges_are_read_at_one_revision_and_filtered_by_the_revision_of_change() {
     on_each(async |store| {
-        store.grant(9, 30).await.expect("granted");
+        store.grant(9, 30).await.expect("the lease is granted");
         let mut writer = Hand::new(store.clone(), 9, b"w".to_vec());
         let puts = |names: &[&str]| names.iter().map(|n| put((*n).into(), b"v".to_vec(), 0)).collect();
-        let first = writer.commit(Vec::new(), puts(&["a/1", "a/2", "b/1"])).await.expect("written");
-        let second = writer.commit(Vec::new(), puts(&["a/2"])).await.expect("written");
+        let first =
+            writer.commit(Vec::new(), puts(&["a/1", "a/2", "b/1"])).await.expect("the commit succeeds");
+        let second = writer.commit(Vec::new(), puts(&["a/2"])).await.expect("the commit succeeds");
         assert!(second > first);
         let read = store.read(vec![under(b"a/".to_vec(), 0), under(b"a/".to_vec(), second)]).await;
-        let read = read.expect("read");
+        let read = read.expect("the range is read");
         assert_eq!(read.revision, second);
         assert_eq!(keys(&read.ranges[0]), ["a/1", "a/2"]);
         assert_eq!(keys(&read.ranges[1]), ["a/2"]);
         assert_eq!(read.ranges[0].iter().map(|row| row.modified).collect::<Vec<_>>(), [first, second]);
-        let (_, all) = ravenspar_store::all(&*store, under(b"a/".to_vec(), 0)).await.expect("read");
+        let (_, all) =
+            ravenspar_store::all(&*store, under(b"a/".to_vec(), 0)).await.expect("the range is read");
         assert_eq!(all, read.ranges[0]);
-        let page = store.page(under(b"a/".to_vec(), 0), 1, 0).await.expect("read");
+        let page = store.page(under(b"a/".to_vec(), 0), 1, 0).await.expect("the range is read");
         assert_eq!((keys(&page.rows), page.more), (vec!["a/1"], true));
-        writer.commit(Vec::new(), vec![delete(b"a/1".to_vec())]).await.expect("deleted");
-        let read = store.read(vec![under(b"a/".to_vec(), 0)]).await.expect("read");
+        writer.commit(Vec::new(), vec![delete(b"a/1".to_vec())]).await.expect("the commit succeeds");
+        let read = store.read(vec![under(b"a/".to_vec(), 0)]).await.expect("the range is read");
         assert_eq!(keys(&read.ranges[0]), ["a/2"]);
     });
 }
@@ -51,18 +53,19 @@
 #[test]
 fn a_transaction_is_committed_only_if_all_its_comparisons_hold() {
     on_each(async |store| {
-        store.grant(9, 30).await.expect("granted");
+        store.grant(9, 30).await.expect("the lease is granted");
         let mut writer = Hand::new(store.clone(), 9, b"w".to_vec());
         let put_k = |value: &str| vec![put(b"k".to_vec(), value.into(), 0)];
         // A failed comparison, also in the first commit, is reported and the writer can go on.
         assert_eq!(writer.commit(vec![there(b"k".to_vec())], put_k("no")).await, Err(Stop::Not));
-        let first = writer.commit(vec![at(b"k".to_vec(), 0)], put_k("one")).await.expect("written");
+        let first =
+            writer.commit(vec![at(b"k".to_vec(), 0)], put_k("one")).await.expect("the commit succeeds");
         assert_eq!(writer.commit(vec![at(b"k".to_vec(), 0)], put_k("no")).await, Err(Stop::Not));
         writer
             .commit(vec![at(b"k".to_vec(), first), there(b"k".to_vec())], put_k("two"))
             .await
-            .expect("written");
-        let read = store.read(vec![under(b"k".to_vec(), 0)]).await.expect("read");
+            .expect("the commit succeeds");
+        let read = store.read(vec![under(b"k".to_vec(), 0)]).await.expect("the range is read");
         assert_eq!(read.ranges[0][0].value, b"two");
     });
 }
@@ -79,13 +82,13 @@
             lease: 0,
         };
         let Ok(Committed::Yes { witness }) = store.commit(guarded(0, "one"), 2).await else {
-            panic!("refused")
+            panic!("the commit was refused")
         };
         let Ok(Committed::Yes { witness: newer }) = store.commit(guarded(witness, "two"), 2).await else {
-            panic!("refused")
+            panic!("the commit was refused")
         };
         assert_eq!(store.commit(guarded(witness, "late"), 2).await, Ok(Committed::No { witness: newer }));
-        let read = store.read(vec![under(b"k".to_vec(), 0)]).await.expect("read");
+        let read = store.read(vec![under(b"k".to_vec(), 0)]).await.expect("the range is read");
         assert_eq!(read.ranges[0][0].value, b"two");
     });
 }
@@ -96,16 +99,23 @@
         assert_eq!(store.grant(9, 1).await, Ok(1));
         assert!(matches!(store.grant(9, 1).await, Err(Fault::Refused(_))));
         let mut writer = Hand::new(store.clone(), 9, b"w".to_vec());
-        writer.commit(Vec::new(), vec![put(b"m".to_vec(), Vec::new(), 9)]).await.expect("written");
+        writer
+            .commit(Vec::new(), vec![put(b"m".to_vec(), Vec::new(), 9)])
+            .await
+            .expect("the commit succeeds");
         assert_eq!(store.renew(9).await, Ok(Some(1)));
         // Wait until the lease expires by the store's clock.
-        while !store.read(vec![under(b"m".to_vec(), 0)]).await.expect("read").ranges[0].is_empty() {
+        while !store.read(vec![under(b"m".to_vec(), 0)]).await.expect("the range is read").ranges[0]
+            .is_empty()
+        {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         assert_eq!(store.renew(9).await, Ok(None));
         let late = writer.commit(Vec::new(), vec![put(b"k".to_vec(), Vec::new(), 0)]).await;
         assert!(matches!(late, Err(Stop::Over(_))), "{late:?}");
-        assert!(store.read(vec![under(b"k".to_vec(), 0)]).await.expect("read").ranges[0].is_empty());
+        assert!(
+            store.read(vec![under(b"k".to_vec(), 0)]).await.expect("the range is read").ranges[0].is_empty()
+        );
         assert_eq!(store.revoke(9).await, Ok(()));
     });
 }
--- a/crates/standin/tests/store.rs
+++ b/crates/standin/tests/store.rs
@@ -48,7 +48,7 @@
 #[test]
 fn an_expired_lease_deletes_its_keys_at_one_revision() {
     let mut store = Mvcc::new(7);
-    store.grant(0, 5, 2).expect("granted");
+    store.grant(0, 5, 2).expect("the lease is granted");
     assert!(store.grant(0, 5, 2).is_err(), "a lease was granted twice");
     store
         .txn(&puts(vec![put("m/1", "", 5), put("m/2", "", 5), put("m/3", "", 0)]))
