--- a/crates/standin/src/agent/runs.rs
+++ b/crates/standin/src/agent/runs.rs
@@ -1,4 +1,4 @@
-//! A job's run at its site: its steps, each looked at the lease for right before it leaves.
+//! A job's run at its site. The lease is checked right before each step is sent.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use super::Agent;
 use crate::effects::{Answer, Call, MOST};
 
-/// What a job of these days is.
+/// The specification of a job in the lab's days.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Spec {
     pub user: String,
@@ -23,19 +23,19 @@
     pub group: String,
     pub steps: u64,
     pub step_ms: u64,
-    /// It fails at its end, each time.
+    /// Each run fails at its end.
     #[serde(default)]
     pub fails: bool,
-    /// Its agent dies of it, each time.
+    /// Each run crashes its agent.
     #[serde(default)]
     pub poison: bool,
 }
 
 enum Stopped {
-    /// Another holds it, or the lease is over: nothing is to be delivered.
-    NotMine,
-    /// Where effects land does not answer.
-    Away,
+    /// Another site holds the job or the lease has expired. There is no outcome to deliver.
+    NotHeld,
+    /// The effects service doesn't answer.
+    Unavailable,
 }
 
 pub(super) async fn run(agent: Rc<Agent>, job: String, token: u64, spec: String) {
@@ -44,8 +44,10 @@
         Err(why) => Ok(Ended::Failed(format!("it can't be read: {why}"))),
         Ok(spec) => loop {
             match steps(&agent, &job, token, &spec, began).await {
-                Err(Stopped::Away) if agent.holds(&job, token) => sleep(Duration::from_millis(100)).await,
-                Err(Stopped::Away) => break Err(Stopped::NotMine),
+                Err(Stopped::Unavailable) if agent.holds(&job, token) => {
+                    sleep(Duration::from_millis(100)).await
+                }
+                Err(Stopped::Unavailable) => break Err(Stopped::NotHeld),
                 ended => break ended,
             }
         },
@@ -53,24 +55,25 @@
     let mut core = agent.core.borrow_mut();
     let used = (core.clock.now() - began) * core.options.lies as i64;
     core.used.insert((token, job.clone()), (used, true));
-    core.disk.used(token, used, &job);
+    core.disk.final_usage(token, used, &job);
     match ended {
         Ok(ended) => {
             core.disk.outcome(&job, token, &ended);
             core.holder.add_outcome(&job, token, ended);
         }
         Err(_) => {
-            // Told to stop, or its life is over: it says so where the job was its own to the end.
+            // Stopped by a steward, or the lease is over: the outcome is reported only if the job was still held.
             if core.holder.stop(&job, token) {
                 core.holder.add_outcome(&job, token, Ended::Stopped);
             }
         }
     }
     drop(core);
-    agent.news.notify_waiters();
+    agent.send_due.notify_waiters();
 }
 
 impl Agent {
+    /// Returns true if the job is held under this token and the lease is valid.
     pub(super) fn holds(&self, job: &str, token: u64) -> bool {
         let core = self.core.borrow();
         if core.options.ignores_lease {
@@ -81,8 +84,8 @@
     }
 }
 
-/// What a run has used so far.
-fn uses(agent: &Agent, job: &str, token: u64, began: crate::Time) {
+/// Updates the usage of a run that goes on.
+fn update_usage(agent: &Agent, job: &str, token: u64, began: crate::Time) {
     let core = &mut *agent.core.borrow_mut();
     let used = (core.clock.now() - began) * core.options.lies as i64;
     core.used.insert((token, job.to_owned()), (used, false));
@@ -100,12 +103,12 @@
         (core.options.effects, core.options.name.clone())
     };
     let connecting = timeout(Duration::from_secs(2), TcpStream::connect(effects)).await;
-    let socket = connecting.ok().and_then(Result::ok).ok_or(Stopped::Away)?;
+    let socket = connecting.ok().and_then(Result::ok).ok_or(Stopped::Unavailable)?;
     let _ = socket.set_nodelay(true);
     let mut frames = Framed::new(socket, codec(MOST));
     let mut call = async |call: Call| -> Result<u64, Stopped> {
         if !agent.holds(job, token) {
-            return Err(Stopped::NotMine);
+            return Err(Stopped::NotHeld);
         }
         let pause = {
             let mut core = agent.core.borrow_mut();
@@ -117,24 +120,24 @@
             let _ = std::process::Command::new("kill").args(["-STOP", &own]).status();
         }
         let body = serde_json::to_vec(&call).unwrap_or_default();
-        frames.send(Bytes::from(body)).await.map_err(|_| Stopped::Away)?;
+        frames.send(Bytes::from(body)).await.map_err(|_| Stopped::Unavailable)?;
         let answer = timeout(Duration::from_secs(2), frames.next()).await;
-        let body = answer.ok().flatten().and_then(Result::ok).ok_or(Stopped::Away)?;
-        match serde_json::from_slice(&body).map_err(|_| Stopped::Away)? {
+        let body = answer.ok().flatten().and_then(Result::ok).ok_or(Stopped::Unavailable)?;
+        match serde_json::from_slice(&body).map_err(|_| Stopped::Unavailable)? {
             Answer::Landed(steps) => Ok(steps),
-            Answer::Refused(_) => Err(Stopped::NotMine),
+            Answer::Refused(_) => Err(Stopped::NotHeld),
         }
     };
     let open = Call::Open { site: site.clone(), job: job.to_owned(), token };
-    let mut landed = call(open).await?;
+    let mut applied = call(open).await?;
     if spec.poison {
         std::process::abort();
     }
-    while landed < spec.steps {
+    while applied < spec.steps {
         sleep(Duration::from_millis(spec.step_ms)).await;
-        uses(agent, job, token, began);
-        let step = Call::Step { site: site.clone(), job: job.to_owned(), token, step: landed };
-        landed = call(step).await?;
+        update_usage(agent, job, token, began);
+        let step = Call::Step { site: site.clone(), job: job.to_owned(), token, step: applied };
+        applied = call(step).await?;
     }
     Ok(if spec.fails { Ended::Failed("it fails".to_owned()) } else { Ended::Done })
 }
--- a/crates/standin/src/effects.rs
+++ b/crates/standin/src/effects.rs
@@ -1,5 +1,5 @@
-//! A place where the effects of jobs land, as its takers are asked to be: it keeps the highest token of each job, refuses
-//! lower ones, and knows which steps have landed.
+//! A service that applies the effects of jobs and follows the rules for effect receivers: it keeps the highest token of
+//! each job, refuses lower ones, and records which steps have been applied.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -16,64 +16,67 @@
 
 use crate::Time;
 
-/// Bytes of a call or an answer at most.
+/// Maximum size in bytes of a call or an answer.
 pub const MOST: usize = 4_096;
 
-/// What a site asks for. `site`: who it says it is.
+/// A call by a site, which names itself in `site`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Call {
-    /// The job is mine under this token: which of its steps have landed? Nobody with a lower token gets anything done from
-    /// here on.
+    /// Claims the job under this token and asks how many of its steps have been applied. Calls with a lower token are
+    /// refused from here on.
     Open { site: String, job: String, token: u64 },
-    /// Step number so much lands, if it has not yet.
+    /// Applies the step of this number, unless it has been applied.
     Step { site: String, job: String, token: u64, step: u64 },
 }
 
+/// The answer to a [`Call`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Answer {
-    /// So many steps have landed.
+    /// The number of steps that have been applied.
+    #[serde(rename = "landed")]
     Landed(u64),
-    /// The token that holds is higher.
+    /// Refused, as a higher token has been seen: this one.
     Refused(u64),
 }
 
-/// What came of a call, in order.
+/// A call and its answer, as recorded.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Landing {
     pub at: Time,
     pub call: Call,
     pub answer: Answer,
-    /// The step took effect by this call.
+    /// True if the step took effect by this call.
     pub effect: bool,
 }
 
 struct Inner {
     effect_receiver: EffectReceiver<String>,
-    landed: BTreeMap<String, u64>,
+    applied: BTreeMap<String, u64>,
     landings: Vec<Landing>,
-    /// It has no memory, neither of tokens nor of steps: a taker that is none.
+    /// Fault: it remembers neither tokens nor steps.
     forgets: bool,
     now: Box<dyn Fn() -> Time>,
 }
 
-/// Shared by its sockets.
+/// The effects service; clones share its state.
 #[derive(Clone)]
 pub struct Effects(Rc<RefCell<Inner>>);
 
 impl Effects {
-    /// `jobs`: remembered at most.
+    /// Remembers at most `jobs` jobs.
     pub fn new(jobs: usize, forgets: bool, now: impl Fn() -> Time + 'static) -> Effects {
         Effects(Rc::new(RefCell::new(Inner {
             effect_receiver: EffectReceiver::new(jobs),
-            landed: BTreeMap::new(),
+            applied: BTreeMap::new(),
             landings: Vec::new(),
             forgets,
             now: Box::new(now),
         })))
     }
 
+    /// Returns all calls so far, in order.
     pub fn landings(&self) -> Vec<Landing> {
         self.0.borrow().landings.clone()
     }
@@ -96,28 +99,28 @@
         let mut frames = Framed::new(socket, codec(MOST));
         while let Some(Ok(body)) = frames.next().await {
             let Ok(call) = serde_json::from_slice(&body) else { return };
-            let answer = serde_json::to_vec(&self.take(call)).unwrap_or_default();
+            let answer = serde_json::to_vec(&self.handle_call(call)).unwrap_or_default();
             if frames.send(Bytes::from(answer)).await.is_err() {
                 return;
             }
         }
     }
 
-    fn take(&self, call: Call) -> Answer {
+    fn handle_call(&self, call: Call) -> Answer {
         let inner = &mut *self.0.borrow_mut();
         let (job, token) = match &call {
             Call::Open { job, token, .. } | Call::Step { job, token, .. } => (job.clone(), *token),
         };
         let refused = if inner.forgets { None } else { inner.effect_receiver.take(job.clone(), token).err() };
-        let landed = inner.landed.entry(job).or_default();
+        let applied = inner.applied.entry(job).or_default();
         let mut effect = false;
         let answer = match (refused, &call) {
             (Some(refused), _) => Answer::Refused(refused.highest_term),
-            (None, Call::Open { .. }) => Answer::Landed(if inner.forgets { 0 } else { *landed }),
+            (None, Call::Open { .. }) => Answer::Landed(if inner.forgets { 0 } else { *applied }),
             (None, Call::Step { step, .. }) => {
-                effect = inner.forgets || *step == *landed;
-                *landed = (*landed).max(step + 1);
-                Answer::Landed(*landed)
+                effect = inner.forgets || *step == *applied;
+                *applied = (*applied).max(step + 1);
+                Answer::Landed(*applied)
             }
         };
         let at = (inner.now)();
--- a/crates/standin/src/forwarder/pool.rs
+++ b/crates/standin/src/forwarder/pool.rs
@@ -1,4 +1,4 @@
-//! One connection to each plan server, opened when it is first needed, with many tries on it.
+//! One connection to each plan server, opened on first use and shared by many tries.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -14,44 +14,46 @@
 use tokio_util::codec::{FramedRead, FramedWrite};
 
 use super::{Core, Forwarder, Req};
-use crate::wire::{status, tag, GREETING, MOST, REQ, RES};
+use crate::wire::{status, tag, GREETING, MAX_FRAME_BYTES, REQ, RES};
 use crate::{duration, Clock, Time};
 
-/// How long a connection may take to open and greet.
-const CONNECT: Time = 4_000;
+/// Timeout for a connection to open and deliver the server's greeting.
+const CONNECT_TIMEOUT: Time = 4_000;
 
+/// Status of a try and the server's utilisation.
 type Answer = (u64, f64);
 
-pub struct Line {
+/// A connection to a plan server, open or not.
+pub struct Connection {
     pub address: SocketAddr,
     open: RefCell<Option<Open>>,
     connecting: Cell<bool>,
-    settled: Notify,
+    connect_done: Notify,
     tries: Cell<u64>,
 }
 
 struct Open {
-    /// A try's frame, and the time after which it may not leave any more.
+    /// Number of a try, its frame, and the time after which it must not be sent.
     frames: mpsc::Sender<(u64, Bytes, Time)>,
     pending: BTreeMap<u64, oneshot::Sender<Answer>>,
-    /// The server's clock, and the own one when that was heard.
-    heard: (Time, Time),
+    /// The server's clock as last received, and the local clock at that moment.
+    clock_sample: (Time, Time),
 }
 
-impl Line {
-    pub fn new(address: SocketAddr) -> Line {
-        Line {
+impl Connection {
+    pub fn new(address: SocketAddr) -> Connection {
+        Connection {
             address,
             open: RefCell::new(None),
             connecting: Cell::new(false),
-            settled: Notify::new(),
+            connect_done: Notify::new(),
             tries: Cell::new(0),
         }
     }
 
-    /// Hands a try to the connection; none where there is none any more. Times are the forwarder's own.
+    /// Queues a try; returns `None` if the connection has closed or its queue is full. Times are by the forwarder's clock.
     pub fn send(
-        self: &Rc<Line>,
+        self: &Rc<Connection>,
         core: &Core,
         req: &Req,
         slice: u64,
@@ -61,15 +63,14 @@
     ) -> Option<oneshot::Receiver<Answer>> {
         let mut open = self.open.borrow_mut();
         let open = open.as_mut()?;
-        let its_try = self.tries.get() + 1;
-        self.tries.set(its_try);
-        // What the server's clock showed lies before the time at which it was heard, so that a time reckoned from it
-        // is never later than meant.
-        let (theirs, ours) = open.heard;
-        let at_server = |time: Time| (theirs + (time - ours)).max(0) as u64;
+        let try_number = self.tries.get() + 1;
+        self.tries.set(try_number);
+        // The server read its clock before the local clock was read, so a converted time is never later than intended.
+        let (server_time, local_time) = open.clock_sample;
+        let at_server = |time: Time| (server_time + (time - local_time)).max(0) as u64;
         let body = Frame::new(REQ)
             .numbers(tag::ID, &[req.id, req.attempt])
-            .numbers(tag::TRY, &[its_try])
+            .numbers(tag::TRY, &[try_number])
             .numbers(tag::KIND, &[req.kind])
             .numbers(tag::WORK, &[req.work])
             .numbers(tag::SLICE, &[slice])
@@ -79,68 +80,69 @@
             .numbers(tag::FINISH_BY, &[at_server(finish_by)])
             .finish();
         let (answer, answered) = oneshot::channel();
-        open.frames.try_send((its_try, body, start_by)).ok()?;
-        open.pending.insert(its_try, answer);
+        open.frames.try_send((try_number, body, start_by)).ok()?;
+        open.pending.insert(try_number, answer);
         Some(answered)
     }
 
-    fn answered(&self, its_try: u64, answer: Answer) {
+    fn answered(&self, try_number: u64, answer: Answer) {
         if let Some(open) = self.open.borrow_mut().as_mut() {
-            if let Some(waiting) = open.pending.remove(&its_try) {
-                let _ = waiting.send(answer);
+            if let Some(waiter) = open.pending.remove(&try_number) {
+                let _ = waiter.send(answer);
             }
         }
     }
 }
 
-/// Waits until the line has a connection; fails where it could not be had.
-pub async fn ready(forwarder: &Forwarder, line: &Rc<Line>) -> Result<(), ()> {
-    if line.open.borrow().is_some() {
+/// Waits until there is a connection; fails if it couldn't be opened.
+pub async fn ready(forwarder: &Forwarder, connection: &Rc<Connection>) -> Result<(), ()> {
+    if connection.open.borrow().is_some() {
         return Ok(());
     }
-    if !line.connecting.replace(true) {
+    if !connection.connecting.replace(true) {
         let clock = forwarder.core.borrow().clock;
-        spawn_local(connect(clock, line.clone()));
+        spawn_local(connect(clock, connection.clone()));
     }
     loop {
-        let settled = line.settled.notified();
-        if !line.connecting.get() {
-            return if line.open.borrow().is_some() { Ok(()) } else { Err(()) };
+        let connect_done = connection.connect_done.notified();
+        if !connection.connecting.get() {
+            return if connection.open.borrow().is_some() { Ok(()) } else { Err(()) };
         }
-        settled.await;
+        connect_done.await;
     }
 }
 
-async fn connect(clock: Clock, line: Rc<Line>) {
+async fn connect(clock: Clock, connection: Rc<Connection>) {
     let opening = async {
-        let socket = TcpStream::connect(line.address).await.ok()?;
+        let socket = TcpStream::connect(connection.address).await.ok()?;
         let _ = socket.set_nodelay(true);
         let (read, write) = socket.into_split();
-        let mut read = FramedRead::new(read, codec(MOST));
+        let mut read = FramedRead::new(read, codec(MAX_FRAME_BYTES));
         let greeting = read.next().await?.ok()?;
         let mut body = Body::new(&greeting).ok().filter(|body| body.kind() == GREETING)?;
-        let mut theirs = 0;
+        let mut server_time = 0;
         while let Some((tag, mut field)) = body.field().ok()? {
             if tag == tag::NOW {
-                theirs = field.time().ok()?;
+                server_time = field.time().ok()?;
             }
         }
-        Some((read, write, theirs))
+        Some((read, write, server_time))
     };
-    let opened = tokio::time::timeout(duration(CONNECT), opening).await.ok().flatten();
-    line.connecting.set(false);
-    let Some((mut read, write, theirs)) = opened else {
-        return line.settled.notify_waiters();
+    let opened = tokio::time::timeout(duration(CONNECT_TIMEOUT), opening).await.ok().flatten();
+    connection.connecting.set(false);
+    let Some((mut read, write, server_time)) = opened else {
+        return connection.connect_done.notify_waiters();
     };
     let (frames, mut queue) = mpsc::channel::<(u64, Bytes, Time)>(1024);
-    *line.open.borrow_mut() = Some(Open { frames, pending: BTreeMap::new(), heard: (theirs, clock.now()) });
-    line.settled.notify_waiters();
+    *connection.open.borrow_mut() =
+        Some(Open { frames, pending: BTreeMap::new(), clock_sample: (server_time, clock.now()) });
+    connection.connect_done.notify_waiters();
     let writer = async {
-        let mut frames = FramedWrite::new(write, codec(MOST));
-        while let Some((its_try, body, start_by)) = queue.recv().await {
-            // Looked at again right before it goes out.
+        let mut frames = FramedWrite::new(write, codec(MAX_FRAME_BYTES));
+        while let Some((try_number, body, start_by)) = queue.recv().await {
+            // Checked again right before it is sent.
             if clock.now() >= start_by {
-                line.answered(its_try, (status::LATE, 0.0));
+                connection.answered(try_number, (status::LATE, 0.0));
             } else if frames.send(body).await.is_err() {
                 return;
             }
@@ -148,32 +150,32 @@
     };
     let reader = async {
         while let Some(Ok(body)) = read.next().await {
-            let Some((its_try, answer, theirs)) = read_answer(&body) else { continue };
-            if let Some(open) = line.open.borrow_mut().as_mut() {
-                open.heard = (theirs, clock.now());
+            let Some((try_number, answer, server_time)) = read_answer(&body) else { continue };
+            if let Some(open) = connection.open.borrow_mut().as_mut() {
+                open.clock_sample = (server_time, clock.now());
             }
-            line.answered(its_try, answer);
+            connection.answered(try_number, answer);
         }
     };
     tokio::select! {
         () = writer => {}
         () = reader => {}
     }
-    // Those that wait for an answer learn that none comes.
-    line.open.borrow_mut().take();
+    // Dropping the senders fails the pending tries.
+    connection.open.borrow_mut().take();
 }
 
 fn read_answer(body: &[u8]) -> Option<(u64, Answer, Time)> {
     let mut body = Body::new(body).ok().filter(|body| body.kind() == RES)?;
-    let (mut its_try, mut status, mut util, mut now) = (0, status::ERRORED, 0.0, 0);
+    let (mut try_number, mut status, mut util, mut now) = (0, status::ERRORED, 0.0, 0);
     while let Some((tag, mut field)) = body.field().ok()? {
         match tag {
-            tag::TRY => its_try = field.number().ok()?,
+            tag::TRY => try_number = field.number().ok()?,
             tag::STATUS => status = field.number().ok()?,
             tag::UTIL => util = field.fraction().ok()?,
             tag::NOW => now = field.time().ok()?,
             _ => {}
         }
     }
-    Some((its_try, (status, util), now))
+    Some((try_number, (status, util), now))
 }
--- a/crates/standin/src/platform/discovery.rs
+++ b/crates/standin/src/platform/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: the whole list, and watches that wait for something newer.
+//! Discovery: the full list of hosts, and watches that wait for changes.
 
 use std::collections::VecDeque;
 use std::convert::Infallible;
@@ -20,180 +20,185 @@
 
 #[derive(Default)]
 struct State {
+    /// The generation of the list.
     version: u64,
-    whole: Vec<Value>,
-    /// The changes of each version after the first.
+    /// The full list.
+    hosts: Vec<Value>,
+    /// The changed entries of each version after the first.
     changes: Vec<(u64, Vec<Value>)>,
+    /// Calls received, and connections accepted.
     calls: usize,
     connections: usize,
     faults: VecDeque<ListFault>,
-    /// Watches tell nothing new any more.
+    /// Watches return no changes.
     frozen: bool,
-    /// No call is answered for now.
+    /// No call is answered.
     silent: bool,
-    /// The version and the hosts that are told in place of the newest.
-    held: Option<(u64, Vec<Value>)>,
+    /// The version and hosts that are published in place of the current ones.
+    pinned: Option<(u64, Vec<Value>)>,
 }
 
 impl State {
-    /// The version and the hosts that are told.
-    fn told(&self) -> (u64, &[Value]) {
-        match &self.held {
-            Some((version, whole)) => (*version, whole),
-            None => (self.version, &self.whole),
+    /// Returns the version and hosts that are published.
+    fn published(&self) -> (u64, &[Value]) {
+        match &self.pinned {
+            Some((version, hosts)) => (*version, hosts),
+            None => (self.version, &self.hosts),
         }
     }
 }
 
-/// What goes wrong with one answer.
+/// A fault of one response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListFault {
-    /// It breaks off in its middle, and so does the connection.
+    /// Half of the body is sent, then the connection breaks.
     Broken,
-    /// Its length is said to be less than it is.
+    /// Half of the body is sent, with a Content-Length that matches the half.
     Short,
-    /// It never comes.
+    /// It is never sent.
     Silent,
-    /// One entry can't be read.
+    /// One entry is malformed.
     Spoilt,
 }
 
+/// A discovery service at one address.
 pub struct Discovery {
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
-    news: Arc<Notify>,
+    /// Notified when watches and waiting calls must check the state again.
+    changed: Arc<Notify>,
     /// Notified at each call.
-    asked: Arc<Notify>,
-    /// Notified once no new connection is taken at this address.
+    called: Arc<Notify>,
+    /// Notified to stop accepting connections at this address.
     closing: Arc<Notify>,
-    _serving: JoinSet<()>,
+    _accept_task: JoinSet<()>,
 }
 
 fn locked(state: &Mutex<State>) -> MutexGuard<'_, State> {
     state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-/// A host in discovery's form.
+/// Returns a host's entry in discovery's format.
 pub fn host(id: &str, lifecycle: &str) -> Value {
     json!({"instanceId": id, "hostPort": "127.0.0.1:9", "zone": "a", "machineType": "m", "cell": 0,
         "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0})
 }
 
 impl Discovery {
-    /// Serves a list of these hosts, all active.
+    /// Starts a service that lists these hosts, all active.
     pub async fn start(hosts: &[&str]) -> std::io::Result<Discovery> {
-        let whole = hosts.iter().map(|id| host(id, "active")).collect();
-        let state = Arc::new(Mutex::new(State { version: 1, whole, ..State::default() }));
-        Discovery::serving(state, Arc::new(Notify::new()), Arc::new(Notify::new())).await
+        let hosts = hosts.iter().map(|id| host(id, "active")).collect();
+        let state = Arc::new(Mutex::new(State { version: 1, hosts, ..State::default() }));
+        Discovery::listen(state, Arc::new(Notify::new()), Arc::new(Notify::new())).await
     }
 
-    /// The same at one more address.
+    /// Serves the same list at one more address.
     pub async fn also(&self) -> std::io::Result<Discovery> {
-        Discovery::serving(self.state.clone(), self.news.clone(), self.asked.clone()).await
+        Discovery::listen(self.state.clone(), self.changed.clone(), self.called.clone()).await
     }
 
-    async fn serving(
+    async fn listen(
         state: Arc<Mutex<State>>,
-        news: Arc<Notify>,
-        asked: Arc<Notify>,
+        changed: Arc<Notify>,
+        called: Arc<Notify>,
     ) -> std::io::Result<Discovery> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let closing = Arc::new(Notify::new());
-        let mut serving = JoinSet::new();
-        serving.spawn(accept(listener, closing.clone(), state.clone(), news.clone(), asked.clone()));
-        Ok(Discovery { address, state, news, asked, closing, _serving: serving })
+        let mut accept_task = JoinSet::new();
+        accept_task.spawn(accept(listener, closing.clone(), state.clone(), changed.clone(), called.clone()));
+        Ok(Discovery { address, state, changed, called, closing, _accept_task: accept_task })
     }
 
-    /// No new connection is taken at this address; those that are open go on until this is dropped.
+    /// Stops accepting connections at this address; open ones continue until this is dropped.
     pub fn stop_accepting(&self) {
         self.closing.notify_one();
     }
 
-    /// One host is now listed so.
+    /// Sets the lifecycle of a host, adding or removing it as needed.
     pub fn set(&self, id: &str, lifecycle: &str) {
         let mut state = locked(&self.state);
         state.version += 1;
         let entry = host(id, lifecycle);
-        state.whole.retain(|host| host["instanceId"] != id);
+        state.hosts.retain(|host| host["instanceId"] != id);
         if lifecycle != "left" {
-            state.whole.push(entry.clone());
+            state.hosts.push(entry.clone());
         }
         let version = state.version;
         state.changes.push((version, vec![entry]));
         drop(state);
-        self.news.notify_waiters();
+        self.changed.notify_waiters();
     }
 
-    /// The hosts that are listed as finishing what they have.
+    /// Returns the hosts that are listed as leaving.
     pub fn leaving(&self) -> Vec<String> {
         let state = locked(&self.state);
-        let leaving = state.whole.iter().filter(|host| host["lifecycle"] == "leaving");
+        let leaving = state.hosts.iter().filter(|host| host["lifecycle"] == "leaving");
         leaving.filter_map(|host| host["instanceId"].as_str().map(str::to_owned)).collect()
     }
 
-    /// These befall the next answers.
+    /// Injects a fault into each of the next responses.
     pub fn befall(&self, faults: &[ListFault]) {
         locked(&self.state).faults.extend(faults);
     }
 
-    /// Faults that are still to come.
+    /// Returns the number of faults that are still to occur.
     pub fn faults(&self) -> usize {
         locked(&self.state).faults.len()
     }
 
-    /// From here on watches are answered in time, and with nothing new.
+    /// From here on watches return at their timeout, without changes.
     pub fn freeze(&self) {
         locked(&self.state).frozen = true;
     }
 
-    /// No call is answered from here on.
+    /// Stops answering calls; they wait.
     pub fn fall_silent(&self) {
         locked(&self.state).silent = true;
     }
 
-    /// What is told from here on is the list as it is now, however it changes.
+    /// Publishes the list as it is now from here on, however it changes.
     pub fn hold_back(&self) {
         let mut state = locked(&self.state);
-        state.held = Some((state.version, state.whole.clone()));
+        state.pinned = Some((state.version, state.hosts.clone()));
     }
 
-    /// Calls are answered again, with what is held back if something is.
+    /// Answers calls again, including those that wait.
     pub fn speak(&self) {
         locked(&self.state).silent = false;
-        self.news.notify_waiters();
+        self.changed.notify_waiters();
     }
 
-    /// The newest is told again.
+    /// Publishes the current list again.
     pub fn catch_up(&self) {
-        locked(&self.state).held = None;
-        self.news.notify_waiters();
+        locked(&self.state).pinned = None;
+        self.changed.notify_waiters();
     }
 
-    /// The version counts from here, as in a discovery that has started over.
+    /// Sets the version and drops the history, as when discovery has restarted.
     pub fn renumber(&self, version: u64) {
         let mut state = locked(&self.state);
         state.changes.clear();
         state.version = version;
     }
 
-    /// Calls answered or waiting so far.
+    /// Returns the number of calls received.
     pub fn calls(&self) -> usize {
         locked(&self.state).calls
     }
 
-    /// Waits until so many calls have been answered or wait.
+    /// Waits until this number of calls has been received.
     pub async fn until_called(&self, calls: usize) {
         loop {
-            let asked = self.asked.notified();
+            let called = self.called.notified();
             if self.calls() >= calls {
                 return;
             }
-            asked.await;
+            called.await;
         }
     }
 
-    /// Connections taken so far.
+    /// Returns the number of connections accepted.
     pub fn connections(&self) -> usize {
         locked(&self.state).connections
     }
@@ -203,10 +208,10 @@
     listener: TcpListener,
     closing: Arc<Notify>,
     state: Arc<Mutex<State>>,
-    news: Arc<Notify>,
-    asked: Arc<Notify>,
+    changed: Arc<Notify>,
+    called: Arc<Notify>,
 ) {
-    let mut streams = JoinSet::new();
+    let mut connections = JoinSet::new();
     loop {
         let socket = tokio::select! {
             accepted = listener.accept() => match accepted {
@@ -215,31 +220,31 @@
             },
             () = closing.notified() => break,
         };
-        let (state, news, asked) = (state.clone(), news.clone(), asked.clone());
+        let (state, changed, called) = (state.clone(), changed.clone(), called.clone());
         locked(&state).connections += 1;
-        streams.spawn(async move {
+        connections.spawn(async move {
             let service = service_fn(move |request| {
                 locked(&state).calls += 1;
-                asked.notify_waiters();
-                answer(request, state.clone(), news.clone())
+                called.notify_waiters();
+                answer(request, state.clone(), changed.clone())
             });
-            let serving = hyper::server::conn::http1::Builder::new();
-            drop(serving.serve_connection(TokioIo::new(socket), service).await);
+            let http = hyper::server::conn::http1::Builder::new();
+            drop(http.serve_connection(TokioIo::new(socket), service).await);
         });
     }
     drop(listener);
-    while streams.join_next().await.is_some() {}
+    while connections.join_next().await.is_some() {}
 }
 
 type Answer = Response<BoxBody<Bytes, std::io::Error>>;
 
-/// An answer as the next fault has it.
+/// Answers a call, applying the next injected fault.
 async fn answer(
     request: Request<hyper::body::Incoming>,
     state: Arc<Mutex<State>>,
-    news: Arc<Notify>,
+    changed: Arc<Notify>,
 ) -> Result<Answer, Infallible> {
-    let mut list = told(request, &state, &news).await;
+    let mut list = list_response(request, &state, &changed).await;
     let fault = locked(&state).faults.pop_front();
     if fault == Some(ListFault::Spoilt) {
         let entries = list["instances"].as_array_mut();
@@ -250,7 +255,7 @@
     let body = match fault {
         Some(ListFault::Silent) => std::future::pending().await,
         Some(ListFault::Broken) => {
-            let frames = [Ok(Frame::data(half)), Err(std::io::Error::other("it breaks off"))];
+            let frames = [Ok(Frame::data(half)), Err(std::io::Error::other("injected disconnect"))];
             StreamBody::new(futures_util::stream::iter(frames)).boxed()
         }
         Some(ListFault::Short) => Full::new(half).map_err(|never| match never {}).boxed(),
@@ -259,28 +264,32 @@
     Ok(Response::new(body))
 }
 
-/// The list that is asked for.
-async fn told(request: Request<hyper::body::Incoming>, state: &Mutex<State>, news: &Notify) -> Value {
+/// Returns the full list or, with `since`, the changes after that version, waiting for some.
+async fn list_response(
+    request: Request<hyper::body::Incoming>,
+    state: &Mutex<State>,
+    changed: &Notify,
+) -> Value {
     let query = request.uri().query().unwrap_or("");
     let field = |name: &str| -> Option<u64> {
         query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
     };
     let Some(since) = field("since") else {
-        until_spoken(state, news).await;
+        wait_while_silent(state, changed).await;
         let state = locked(state);
-        let (version, whole) = state.told();
-        return json!({"generation": version, "reset": true, "instances": whole});
+        let (version, hosts) = state.published();
+        return json!({"generation": version, "reset": true, "instances": hosts});
     };
     let wait = Duration::from_millis(field("timeout_ms").unwrap_or(0));
     let newer = async {
         loop {
-            let notified = news.notified();
+            let notified = changed.notified();
             let version = {
                 let state = locked(state);
                 if state.frozen || state.silent {
                     0
                 } else {
-                    state.told().0
+                    state.published().0
                 }
             };
             if version > since {
@@ -290,20 +299,21 @@
         }
     };
     let _ = tokio::time::timeout(wait, newer).await;
-    until_spoken(state, news).await;
+    wait_while_silent(state, changed).await;
     let state = locked(state);
     if state.frozen {
         return json!({"generation": since, "reset": false, "instances": []});
     }
-    let (told, _) = state.told();
-    let changes = state.changes.iter().filter(|(version, _)| (since + 1..=told).contains(version));
+    let (published, _) = state.published();
+    let changes = state.changes.iter().filter(|(version, _)| (since + 1..=published).contains(version));
     let changes: Vec<&Value> = changes.flat_map(|(_, entries)| entries).collect();
-    json!({"generation": told, "reset": false, "instances": changes})
+    json!({"generation": published, "reset": false, "instances": changes})
 }
 
-async fn until_spoken(state: &Mutex<State>, news: &Notify) {
+/// Waits while the service is silent.
+async fn wait_while_silent(state: &Mutex<State>, changed: &Notify) {
     loop {
-        let notified = news.notified();
+        let notified = changed.notified();
         if !locked(state).silent {
             return;
         }
--- a/crates/standin/src/platform/relay.rs
+++ b/crates/standin/src/platform/relay.rs
@@ -1,4 +1,4 @@
-//! The relay: it holds the slices' lines, carries calls out, and tells its news to whoever asked for them.
+//! The relay: it stores the slices' lines, executes calls and sends notifications to subscribers.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -13,150 +13,156 @@
 use tokio::task::JoinSet;
 use tokio_util::codec::{Framed, LinesCodec};
 
-/// What goes wrong with one call.
+/// A fault of one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Carried out, and the answer never comes.
+    /// Executed, but never answered.
     Unanswered,
-    /// Not carried out, and no answer comes.
+    /// Neither executed nor answered.
     Lost,
-    /// Carried out, and the connection breaks before the answer.
+    /// Executed; the connection closes before the answer.
     Broken,
-    /// Carried out, and the connection ends in the middle of the answer.
+    /// Executed; the connection closes in the middle of the answer.
     Torn,
-    /// Carried out, and the connection is reset in the middle of the answer.
+    /// Executed; the connection is reset in the middle of the answer.
     Reset,
-    /// Carried out, and the answer comes a byte at a time.
+    /// Executed; the answer is written byte by byte.
     Dripped,
-    /// Carried out, and the answer's last byte comes with the end of the connection.
+    /// Executed and answered; then the connection closes at once.
     AndEnd,
-    /// Carried out, and the answer comes twice.
+    /// Executed; the answer is sent twice.
     Twice,
-    /// Carried out, and the answer waits for the test's word.
+    /// Executed; the answer waits for [`Relay::release`].
     Held,
-    /// Carried out, and the answer can't be read.
+    /// Executed; the answer is malformed.
     Spoilt,
-    /// Turned away.
+    /// Refused with a throttling error.
     Throttled,
 }
 
-/// News that a subscriber may lag behind; past that it is cut off.
-const NEWS: usize = 4_096;
+/// Maximum number of notifications queued for a subscriber; one that lags further is disconnected.
+const SUBSCRIBER_QUEUE: usize = 4_096;
 
-fn joined(id: u64) -> String {
-    news("SUBSCRIBE", json!({"id": id, "site": "a", "rps": 1.0, "new": false}))
+/// The notification that a proxy's stream is up.
+fn proxy_notification(id: u64) -> String {
+    notification("SUBSCRIBE", json!({"id": id, "site": "a", "rps": 1.0, "new": false}))
 }
 
-/// A slice in the steward's charge as it is told, with its line if it has one.
-fn given(range: u64, row: &Option<(String, f64)>) -> Vec<String> {
-    let grant = news("GRANT", json!({"range": range, "flag": true}));
-    let row =
-        row.as_ref().map(|(target, rps)| news("ROW", json!({"range": range, "target": target, "rps": rps})));
+/// The notifications for a slice that is assigned to the steward: the assignment and the line, if there is one.
+fn slice_notifications(range: u64, row: &Option<(String, f64)>) -> Vec<String> {
+    let grant = notification("GRANT", json!({"range": range, "flag": true}));
+    let row = row
+        .as_ref()
+        .map(|(target, rps)| notification("ROW", json!({"range": range, "target": target, "rps": rps})));
     [grant].into_iter().chain(row).collect()
 }
 
-/// What is told to a subscriber.
+/// A message to a subscriber.
 #[derive(Debug)]
-enum News {
+enum Notification {
     Line(String),
-    /// The beginning of a line, and the end of the connection.
+    /// The first part of a line, after which the connection closes.
     Half(&'static str),
 }
 
-/// What the relay holds and has met.
+/// State of the relay, and counts of what it has received.
 #[derive(Default)]
 pub struct Said {
-    /// The owner and weight of each slice in the steward's charge.
+    /// The slices assigned to the steward, with the owner and weight of each that has a line.
     pub rows: BTreeMap<u64, Option<(String, f64)>>,
+    /// Proxies whose streams are up.
     pub proxies: Vec<u64>,
-    /// Orders carried out, in their order.
+    /// Orders executed, in order.
     pub orders: Vec<Value>,
+    /// Calls received, and subscriptions started.
     pub calls: usize,
     pub subscriptions: usize,
-    /// Proxies answer no marks for now.
+    /// Fault: proxies acknowledge no marks.
     pub mute: bool,
-    /// Nor does this one.
+    /// Fault: this proxy acknowledges no marks.
     pub slow: Option<u64>,
-    /// Classes that an order may name; any, where there are none.
+    /// Classes that an order may name; empty if any may be named.
     pub classes: Vec<String>,
-    /// Orders at which a call was stopped.
+    /// Number of orders that were refused, each ending its call.
     pub refused: usize,
-    /// The highest number of a call so far, and how many were read after a later one. The platform carries a call out within
-    /// 50 ms or never; where this stand-in has had to wait for its core for longer, such a call is never carried out.
+    /// The highest id of a call so far, and how many calls were read after a later one. The platform executes a call
+    /// within 50 ms or never. If this stand-in had to wait for its core for longer, such a call is never executed.
     latest_call: u64,
     pub calls_too_late: usize,
-    /// Slices that an order moved from one owner to another with no revoke between.
+    /// Slices that an order moved from one owner to another without a revoke in between: slice, old and new owner.
     pub moved_directly: Vec<(u64, String, String)>,
-    /// Subscriptions are told so many lines, and then the connection ends.
+    /// Fault: a subscription's connection closes after this number of lines.
     pub cut_after: Option<usize>,
-    /// Subscriptions are told nothing at all, and their connections stay open.
+    /// Fault: subscriptions receive nothing, and their connections stay open.
     pub silent_news: bool,
     faults: VecDeque<Fault>,
-    readers: Vec<mpsc::Sender<News>>,
+    subscribers: Vec<mpsc::Sender<Notification>>,
 }
 
+/// A relay at one address.
 pub struct Relay {
     pub address: SocketAddr,
-    said: Arc<Mutex<Said>>,
+    state: Arc<Mutex<Said>>,
     changed: Arc<Notify>,
-    /// One permit lets one answer go that is held.
-    word: Arc<Semaphore>,
-    _serving: JoinSet<()>,
+    /// Each permit releases one held answer.
+    releases: Arc<Semaphore>,
+    _accept_task: JoinSet<()>,
 }
 
-fn locked(said: &Mutex<Said>) -> MutexGuard<'_, Said> {
-    said.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+fn locked(state: &Mutex<Said>) -> MutexGuard<'_, Said> {
+    state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-fn news(method: &str, params: Value) -> String {
+fn notification(method: &str, params: Value) -> String {
     json!({"jsonrpc": "2.0", "method": method, "params": params}).to_string()
 }
 
 impl Said {
-    /// Tells all who read the news.
+    /// Sends a line to all subscribers.
     pub fn tell(&mut self, line: String) {
-        self.readers.retain(|reader| reader.try_send(News::Line(line.clone())).is_ok());
+        self.subscribers.retain(|subscriber| subscriber.try_send(Notification::Line(line.clone())).is_ok());
     }
 
-    /// A proxy's stream comes up.
+    /// Brings up a proxy's stream and notifies the subscribers.
     pub fn join(&mut self, id: u64) {
         self.proxies.push(id);
-        self.tell(joined(id));
+        self.tell(proxy_notification(id));
     }
 
-    /// A proxy's stream breaks.
+    /// Breaks a proxy's stream and notifies the subscribers.
     pub fn leave(&mut self, id: u64) {
         self.proxies.retain(|proxy| *proxy != id);
-        self.tell(news("CLOSED", json!({"id": id})));
+        self.tell(notification("CLOSED", json!({"id": id})));
     }
 
-    /// The store takes a slice out of the steward's charge, and returns its line.
+    /// Withdraws a slice from the steward; returns its line.
     pub fn take_slice(&mut self, range: u64) -> Option<(String, f64)> {
         let row = self.rows.remove(&range).flatten();
-        self.tell(news("GRANT", json!({"range": range, "flag": false})));
+        self.tell(notification("GRANT", json!({"range": range, "flag": false})));
         row
     }
 
-    /// The store puts a slice with this line into the steward's charge.
+    /// Assigns a slice with this line to the steward.
     pub fn give_slice(&mut self, range: u64, row: Option<(String, f64)>) {
-        given(range, &row).into_iter().for_each(|line| self.tell(line));
+        slice_notifications(range, &row).into_iter().for_each(|line| self.tell(line));
         self.rows.insert(range, row);
     }
 
-    fn stands(&self) -> Vec<String> {
-        let proxies = self.proxies.iter().map(|id| joined(*id));
-        let slices = self.rows.iter().flat_map(|(range, row)| given(*range, row));
+    /// Returns the notifications that describe the current state.
+    fn snapshot(&self) -> Vec<String> {
+        let proxies = self.proxies.iter().map(|id| proxy_notification(*id));
+        let slices = self.rows.iter().flat_map(|(range, row)| slice_notifications(*range, row));
         proxies.chain(slices).collect()
     }
 
-    /// Returns how many were taken.
-    fn carry_out(&mut self, changes: &[Value]) -> usize {
-        for (taken, order) in changes.iter().enumerate() {
+    /// Executes orders up to the first that is refused; returns how many were executed.
+    fn execute(&mut self, changes: &[Value]) -> usize {
+        for (executed, order) in changes.iter().enumerate() {
             let known = |route: &Value| self.classes.iter().any(|class| route == class);
             let mut routes = order["routes"].as_array().into_iter().flatten();
             if !self.classes.is_empty() && !routes.all(known) {
                 self.refused += 1;
-                return taken;
+                return executed;
             }
             let slice = order["cluster"].as_u64();
             match (order["verb"].as_str(), slice.and_then(|slice| self.rows.get_mut(&slice))) {
@@ -174,7 +180,7 @@
                     let slow = self.slow;
                     for proxy in self.proxies.clone().into_iter().filter(|proxy| Some(*proxy) != slow) {
                         let ack = json!({"id": proxy, "seq": order["nonce_out"], "ms": 1.0});
-                        self.tell(news("ACK", ack));
+                        self.tell(notification("ACK", ack));
                     }
                 }
                 _ => {}
@@ -186,57 +192,58 @@
 }
 
 impl Relay {
-    /// Slices from 0 on are all in the steward's charge, with this owner.
+    /// Starts a relay whose slices, from 0 on, are all assigned to the steward and have this owner.
     pub async fn start(slices: u64, owner: &str, proxies: u64) -> std::io::Result<Relay> {
         let rows = (0..slices).map(|slice| (slice, Some((owner.to_owned(), 1.0)))).collect();
-        let said = Said { rows, proxies: (0..proxies).collect(), ..Said::default() };
-        Relay::serving(Arc::new(Mutex::new(said)), Arc::new(Notify::new()), Arc::new(Semaphore::new(0))).await
+        let state = Said { rows, proxies: (0..proxies).collect(), ..Said::default() };
+        Relay::listen(Arc::new(Mutex::new(state)), Arc::new(Notify::new()), Arc::new(Semaphore::new(0))).await
     }
 
-    async fn serving(
-        said: Arc<Mutex<Said>>,
+    async fn listen(
+        state: Arc<Mutex<Said>>,
         changed: Arc<Notify>,
-        word: Arc<Semaphore>,
+        releases: Arc<Semaphore>,
     ) -> std::io::Result<Relay> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let mut serving = JoinSet::new();
-        serving.spawn(accept(listener, said.clone(), changed.clone(), word.clone()));
-        Ok(Relay { address, said, changed, word, _serving: serving })
+        let mut accept_task = JoinSet::new();
+        accept_task.spawn(accept(listener, state.clone(), changed.clone(), releases.clone()));
+        Ok(Relay { address, state, changed, releases, _accept_task: accept_task })
     }
 
-    /// The same store at another address.
+    /// Serves the same state at one more address.
     pub async fn also(&self) -> std::io::Result<Relay> {
-        Relay::serving(self.said.clone(), self.changed.clone(), self.word.clone()).await
+        Relay::listen(self.state.clone(), self.changed.clone(), self.releases.clone()).await
     }
 
-    /// These befall the next calls.
+    /// Injects a fault into each of the next calls.
     pub fn befall(&self, faults: &[Fault]) {
-        locked(&self.said).faults.extend(faults);
+        locked(&self.state).faults.extend(faults);
     }
 
-    /// The test's word for one answer that is held.
+    /// Releases one held answer.
     pub fn release(&self) {
-        self.word.add_permits(1);
+        self.releases.add_permits(1);
     }
 
+    /// Accesses the relay's state.
     pub fn with<T>(&self, look: impl FnOnce(&mut Said) -> T) -> T {
-        look(&mut locked(&self.said))
+        look(&mut locked(&self.state))
     }
 
-    /// Cuts off all who read the news, in the middle of a line.
+    /// Disconnects all subscribers in the middle of a line.
     pub fn cut(&self) {
-        self.with(|said| {
-            let half = || News::Half(r#"{"jsonrpc":"2.0","method":"AC"#);
-            said.readers.drain(..).for_each(|reader| _ = reader.try_send(half()));
+        self.with(|state| {
+            let half = || Notification::Half(r#"{"jsonrpc":"2.0","method":"AC"#);
+            state.subscribers.drain(..).for_each(|subscriber| _ = subscriber.try_send(half()));
         });
     }
 
-    /// Waits until it is so.
-    pub async fn until(&self, so: impl Fn(&Said) -> bool) {
+    /// Waits until the condition holds.
+    pub async fn until(&self, condition: impl Fn(&Said) -> bool) {
         loop {
             let changed = self.changed.notified();
-            if self.with(|said| so(said)) {
+            if self.with(|state| condition(state)) {
                 return;
             }
             changed.await;
@@ -244,19 +251,24 @@
     }
 }
 
-async fn accept(listener: TcpListener, said: Arc<Mutex<Said>>, changed: Arc<Notify>, word: Arc<Semaphore>) {
-    let mut streams = JoinSet::new();
+async fn accept(
+    listener: TcpListener,
+    state: Arc<Mutex<Said>>,
+    changed: Arc<Notify>,
+    releases: Arc<Semaphore>,
+) {
+    let mut connections = JoinSet::new();
     while let Ok((socket, _)) = listener.accept().await {
-        streams.spawn(serve(socket, said.clone(), changed.clone(), word.clone()));
+        connections.spawn(serve(socket, state.clone(), changed.clone(), releases.clone()));
     }
 }
 
-/// Writes an answer as the fault has it. Returns whether the connection goes on.
-async fn answer_by(
+/// Writes an answer with the fault applied; returns false if the connection must close.
+async fn write_answer(
     fault: Option<Fault>,
     lines: &mut Framed<TcpStream, LinesCodec>,
     answer: &str,
-    word: &Semaphore,
+    releases: &Semaphore,
 ) -> std::io::Result<bool> {
     let line = format!("{answer}\n");
     let socket = lines.get_mut();
@@ -275,7 +287,7 @@
         }
         Some(Fault::Twice) => socket.write_all(line.repeat(2).as_bytes()).await.map(|()| true),
         Some(Fault::Held) => {
-            let Ok(permit) = word.acquire().await else { return Ok(false) };
+            let Ok(permit) = releases.acquire().await else { return Ok(false) };
             permit.forget();
             socket.write_all(line.as_bytes()).await.map(|()| true)
         }
@@ -283,31 +295,31 @@
     }
 }
 
-async fn serve(socket: TcpStream, said: Arc<Mutex<Said>>, changed: Arc<Notify>, word: Arc<Semaphore>) {
+async fn serve(socket: TcpStream, state: Arc<Mutex<Said>>, changed: Arc<Notify>, releases: Arc<Semaphore>) {
     let _ = socket.set_nodelay(true);
     let mut lines = Framed::new(socket, LinesCodec::new());
     while let Some(Ok(line)) = lines.next().await {
         let call: Value = serde_json::from_str(&line).unwrap_or_default();
         if call["method"] == "subscribe" {
-            return tell_news(lines, &call, said, changed).await;
+            return serve_subscription(lines, &call, state, changed).await;
         }
         let changes = call["params"]["changes"].as_array().cloned().unwrap_or_default();
-        let (fault, taken) = {
-            let mut said = locked(&said);
-            said.calls += 1;
+        let (fault, executed) = {
+            let mut state = locked(&state);
+            state.calls += 1;
             let id = call["id"].as_u64().unwrap_or(0);
-            // A process that started again counts from 1.
-            if id > 1 && id < said.latest_call {
-                said.calls_too_late += 1;
+            // A restarted process counts its calls from 1.
+            if id > 1 && id < state.latest_call {
+                state.calls_too_late += 1;
                 continue;
             }
-            said.latest_call = id;
-            let fault = said.faults.pop_front();
-            let taken = match fault {
+            state.latest_call = id;
+            let fault = state.faults.pop_front();
+            let executed = match fault {
                 Some(Fault::Lost | Fault::Throttled) => 0,
-                _ => said.carry_out(&changes),
+                _ => state.execute(&changes),
             };
-            (fault, taken)
+            (fault, executed)
         };
         changed.notify_waiters();
         let id = &call["id"];
@@ -318,34 +330,35 @@
             Some(Fault::Throttled) => {
                 json!({"jsonrpc": "2.0", "id": id, "error": {"code": -32000, "message": "Throttling"}})
             }
-            _ => json!({"jsonrpc": "2.0", "id": id, "result": {"ok_count": taken}}),
+            _ => json!({"jsonrpc": "2.0", "id": id, "result": {"ok_count": executed}}),
         };
-        if !answer_by(fault, &mut lines, &answer.to_string(), &word).await.unwrap_or(false) {
+        if !write_answer(fault, &mut lines, &answer.to_string(), &releases).await.unwrap_or(false) {
             return;
         }
     }
 }
 
-async fn tell_news(
+/// Serves a subscription: the current state, then notifications and pings.
+async fn serve_subscription(
     mut lines: Framed<TcpStream, LinesCodec>,
     call: &Value,
-    said: Arc<Mutex<Said>>,
+    state: Arc<Mutex<Said>>,
     changed: Arc<Notify>,
 ) {
-    let (reader, mut queue) = mpsc::channel(NEWS);
+    let (subscriber, mut queue) = mpsc::channel(SUBSCRIBER_QUEUE);
     let first = json!({"jsonrpc": "2.0", "id": call["id"], "result": true}).to_string();
-    let silent = locked(&said).silent_news;
+    let silent = locked(&state).silent_news;
     if silent {
         return std::future::pending().await;
     }
-    let (stands, cut_after) = {
-        let mut said = locked(&said);
-        said.readers.push(reader);
-        said.subscriptions += 1;
-        (said.stands(), said.cut_after)
+    let (snapshot, cut_after) = {
+        let mut state = locked(&state);
+        state.subscribers.push(subscriber);
+        state.subscriptions += 1;
+        (state.snapshot(), state.cut_after)
     };
     changed.notify_waiters();
-    for line in [first].into_iter().chain(stands).take(cut_after.unwrap_or(usize::MAX)) {
+    for line in [first].into_iter().chain(snapshot).take(cut_after.unwrap_or(usize::MAX)) {
         if lines.send(line).await.is_err() {
             return;
         }
@@ -353,18 +366,18 @@
     if cut_after.is_some() {
         return;
     }
-    let mut beat = tokio::time::interval(Duration::from_millis(200));
+    let mut ping_interval = tokio::time::interval(Duration::from_millis(200));
     loop {
         let line = tokio::select! {
             line = queue.recv() => match line {
-                Some(News::Line(line)) => line,
-                Some(News::Half(half)) => {
+                Some(Notification::Line(line)) => line,
+                Some(Notification::Half(half)) => {
                     let _ = lines.get_mut().write_all(half.as_bytes()).await;
                     return;
                 }
                 None => return,
             },
-            _ = beat.tick() => news("ping", json!({})),
+            _ = ping_interval.tick() => notification("ping", json!({})),
         };
         if lines.send(line).await.is_err() {
             return;
--- a/crates/standin/src/store/memory.rs
+++ b/crates/standin/src/store/memory.rs
@@ -1,5 +1,5 @@
-//! The replicated log's state as a store of one process: one copy, no log, no disk. It shows that what is asked of a store
-//! is what `replicated` will keep, and it serves tests that need no sockets.
+//! The state machine of the replicated log as an in-process store: one copy, no log, no disk. It shows that the state
+//! machine meets the store's contract, which the `replicated` store relies on, and serves tests that need no sockets.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -13,6 +13,7 @@
 
 use crate::{Clock, Time, SECOND};
 
+/// An in-memory store; clones share its state.
 #[derive(Clone, Default)]
 pub struct Memory {
     inner: Arc<Mutex<(State, BTreeMap<u64, Time>)>>,
@@ -24,8 +25,9 @@
         let now = self.clock.now();
         let mut inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
         let (state, ends) = &mut *inner;
-        let over: Vec<u64> = ends.iter().filter(|(_, end)| now >= **end).map(|(lease, _)| *lease).collect();
-        for lease in over {
+        let expired: Vec<u64> =
+            ends.iter().filter(|(_, end)| now >= **end).map(|(lease, _)| *lease).collect();
+        for lease in expired {
             ends.remove(&lease);
             state.apply(&Command::RevokeLease { lease }.encode());
         }
@@ -65,7 +67,7 @@
         Box::pin(async move { Ok(self.reads(ranges)) })
     }
 
-    /// It keeps no earlier revisions: pages behind the first are as they are now.
+    /// Earlier revisions aren't kept: later pages show the current state.
     fn page(&self, range: Range, limit: usize, revision: u64) -> BoxFuture<'_, Result<Page, StoreError>> {
         Box::pin(async move {
             let read = self.reads(vec![range]);
@@ -100,15 +102,17 @@
                     let found = steps.into_iter().flat_map(row).next();
                     Ok(CommitOutcome::Aborted { witness: found.map_or(0, |row| row.modified) })
                 }
-                Ok(Applied::Lease(_)) => Err(StoreError::Unknown("another answer than asked for".to_owned())),
-                Err(not) => Err(StoreError::Refused(format!("{not:?}"))),
+                Ok(Applied::Lease(_)) => {
+                    Err(StoreError::Unknown("a lease in reply to a transaction".to_owned()))
+                }
+                Err(rejection) => Err(StoreError::Refused(format!("{rejection:?}"))),
             }
         })
     }
 
     fn grant(&self, lease: u64, seconds: u32) -> BoxFuture<'_, Result<u32, StoreError>> {
         let made = self.lease(Command::GrantLease { lease, seconds });
-        Box::pin(async move { made.map_err(|not| StoreError::Refused(format!("{not:?}"))) })
+        Box::pin(async move { made.map_err(|rejection| StoreError::Refused(format!("{rejection:?}"))) })
     }
 
     fn renew(&self, lease: u64) -> BoxFuture<'_, Result<Option<u32>, StoreError>> {
--- a/crates/standin/src/store/mvcc.rs
+++ b/crates/standin/src/store/mvcc.rs
@@ -1,4 +1,4 @@
-//! Keys, revisions, leases and transactions. Pure: times are handed in.
+//! Keys, revisions, leases and transactions. Free of I/O: the caller passes the time.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -26,16 +26,17 @@
     revision: i64,
     keys: BTreeMap<Vec<u8>, KeyValue>,
     leases: BTreeMap<i64, Lease>,
-    /// When it was last asked for anything.
+    /// The time of the last call.
     now: Time,
-    /// What was done to keys, in order, since the compaction.
-    log: VecDeque<Done>,
+    /// Changes of keys since the compaction, in order.
+    log: VecDeque<KeyChange>,
+    /// The revision up to which the log has been compacted.
     compacted: i64,
 }
 
-/// A key as it was before and after a revision.
+/// A key before and after a revision.
 #[derive(Clone, Debug)]
-struct Done {
+struct KeyChange {
     at: Time,
     revision: i64,
     key: Vec<u8>,
@@ -43,7 +44,7 @@
     after: Option<KeyValue>,
 }
 
-/// A change of a key, as a judge sees it.
+/// A change of a key as the lab's judges read it. `value` is `None` if the key was deleted.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Change {
     pub at: Time,
@@ -52,10 +53,10 @@
     pub value: Option<String>,
 }
 
-/// Changes kept at most; older ones are compacted.
-const KEPT: usize = 200_000;
+/// Maximum number of changes kept; older ones are compacted.
+const MAX_CHANGES: usize = 200_000;
 
-/// Why a call is refused, in the API's words.
+/// Why a call is refused, after the API's errors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
     LeaseNotFound,
@@ -66,11 +67,11 @@
     DuplicateKey,
 }
 
-/// Operations of a transaction, as etcd takes them unless told otherwise (`--max-txn-ops`).
-const MOST_OPS: usize = 128;
+/// Maximum number of operations in a transaction: etcd's default (`--max-txn-ops`).
+const MAX_TXN_OPS: usize = 128;
 
-/// Whether a key is in a range, as the API has ranges.
-fn inside(found: &[u8], key: &[u8], end: &[u8]) -> bool {
+/// Returns true if a key is in a range as the API defines it.
+fn in_range(found: &[u8], key: &[u8], end: &[u8]) -> bool {
     match end {
         [] => found == key,
         [0] => found >= key,
@@ -91,18 +92,20 @@
         }
     }
 
+    /// Returns the header of a response at the current revision.
     pub fn header(&self) -> ResponseHeader {
         ResponseHeader { cluster_id: self.cluster, member_id: 1, revision: self.revision, raft_term: 1 }
     }
 
-    /// Ends the leases that have run out: the keys of each go at one revision.
+    /// Revokes expired leases. The keys of each are deleted at one revision.
     pub fn expire(&mut self, now: Time) {
         self.now = now;
-        let over: Vec<i64> =
+        let expired: Vec<i64> =
             self.leases.iter().filter(|(_, lease)| now >= lease.until).map(|(&id, _)| id).collect();
-        over.into_iter().for_each(|id| _ = self.revoke(id));
+        expired.into_iter().for_each(|id| _ = self.revoke(id));
     }
 
+    /// Grants a lease and returns its id; id 0 lets the store choose one.
     pub fn grant(&mut self, now: Time, id: i64, seconds: i64) -> Result<i64, Refusal> {
         let id = if id == 0 { self.leases.keys().last().map_or(1, |last| last + 1) } else { id };
         if self.leases.contains_key(&id) {
@@ -113,6 +116,7 @@
         Ok(id)
     }
 
+    /// Ends a lease and deletes its keys at one revision.
     pub fn revoke(&mut self, id: i64) -> Result<(), Refusal> {
         self.leases.remove(&id).ok_or(Refusal::LeaseNotFound)?;
         let bound = self.keys.values().filter(|kv| kv.lease == id);
@@ -123,11 +127,12 @@
         Ok(())
     }
 
+    /// Returns the ids of all leases.
     pub fn leases(&self) -> Vec<i64> {
         self.leases.keys().copied().collect()
     }
 
-    /// The seconds that a renewed lease has; 0 where it is gone.
+    /// Renews a lease; returns its seconds, or 0 if it doesn't exist.
     pub fn renew(&mut self, now: Time, id: i64) -> i64 {
         let Some(lease) = self.leases.get_mut(&id) else { return 0 };
         lease.until = now + lease.seconds * SECOND;
@@ -135,9 +140,9 @@
     }
 
     fn note(&mut self, revision: i64, key: &[u8], before: Option<KeyValue>, after: Option<KeyValue>) {
-        self.log.push_back(Done { at: self.now, revision, key: key.to_vec(), before, after });
-        if self.log.len() > KEPT {
-            self.compacted = self.log.pop_front().map_or(0, |done| done.revision);
+        self.log.push_back(KeyChange { at: self.now, revision, key: key.to_vec(), before, after });
+        if self.log.len() > MAX_CHANGES {
+            self.compacted = self.log.pop_front().map_or(0, |change| change.revision);
         }
     }
 
@@ -147,7 +152,7 @@
         }
     }
 
-    /// Forgets what was before a revision.
+    /// Discards the history before a revision.
     pub fn compact(&mut self, revision: i64) -> Result<(), Refusal> {
         if revision <= self.compacted {
             return Err(Refusal::Compacted);
@@ -156,55 +161,58 @@
             return Err(Refusal::FutureRevision);
         }
         self.compacted = revision;
-        self.log.retain(|done| done.revision >= revision);
+        self.log.retain(|change| change.revision >= revision);
         Ok(())
     }
 
+    /// Returns the revision up to which the history has been compacted.
     pub fn compacted(&self) -> i64 {
         self.compacted
     }
 
-    /// All changes that are kept, in order: when, at which revision, which key, what it is since (none: it is gone).
+    /// Returns all changes that are kept, in order.
     pub fn changes(&self) -> Vec<Change> {
         self.changes_after(0)
     }
 
-    /// Those after a revision.
+    /// Returns the changes after a revision, in order.
     pub fn changes_after(&self, revision: i64) -> Vec<Change> {
-        let change = |done: &Done| Change {
-            at: done.at,
-            revision: done.revision,
-            key: String::from_utf8_lossy(&done.key).into_owned(),
-            value: done.after.as_ref().map(|kv| String::from_utf8_lossy(&kv.value).into_owned()),
+        let to_change = |change: &KeyChange| Change {
+            at: change.at,
+            revision: change.revision,
+            key: String::from_utf8_lossy(&change.key).into_owned(),
+            value: change.after.as_ref().map(|kv| String::from_utf8_lossy(&kv.value).into_owned()),
         };
-        let from = self.log.partition_point(|done| done.revision <= revision);
-        self.log.range(from..).map(change).collect()
+        let from = self.log.partition_point(|change| change.revision <= revision);
+        self.log.range(from..).map(to_change).collect()
     }
 
-    /// What happened to keys in a range from a revision on, in order; none where that has been compacted.
+    /// Returns the events of a range from a revision on, in order; `None` if that revision has been compacted.
     pub fn events(&self, key: &[u8], end: &[u8], from: i64) -> Option<Vec<(i64, Event)>> {
         if from <= self.compacted {
             return None;
         }
-        let since = self.log.iter().skip_while(|done| done.revision < from);
-        let found = since.filter(|done| inside(&done.key, key, end));
-        let event = |done: &Done| {
-            let gone = KeyValue { key: done.key.clone(), mod_revision: done.revision, ..KeyValue::default() };
-            let kind = if done.after.is_some() { EventType::Put } else { EventType::Delete };
-            let kv = Some(done.after.clone().unwrap_or(gone));
-            (done.revision, Event { r#type: kind as i32, kv, prev_kv: done.before.clone() })
+        let since = self.log.iter().skip_while(|change| change.revision < from);
+        let found = since.filter(|change| in_range(&change.key, key, end));
+        let to_event = |change: &KeyChange| {
+            let gone =
+                KeyValue { key: change.key.clone(), mod_revision: change.revision, ..KeyValue::default() };
+            let kind = if change.after.is_some() { EventType::Put } else { EventType::Delete };
+            let kv = Some(change.after.clone().unwrap_or(gone));
+            (change.revision, Event { r#type: kind as i32, kv, prev_kv: change.before.clone() })
         };
-        Some(found.map(event).collect())
+        Some(found.map(to_event).collect())
     }
 
-    /// Keys of a range as they were at a revision that is not the last.
+    /// Returns the keys of a range as they were at an earlier revision.
     fn past(&self, key: &[u8], end: &[u8], revision: i64) -> Vec<KeyValue> {
         let mut then: BTreeMap<&[u8], Option<&KeyValue>> =
             self.within(key, end).map(|kv| (kv.key.as_slice(), Some(kv))).collect();
-        // The first change after it says what was there before.
-        let later = self.log.iter().filter(|done| done.revision > revision && inside(&done.key, key, end));
-        for done in later.rev() {
-            then.insert(&done.key, done.before.as_ref());
+        // The first change after the revision holds the key's state at it.
+        let later =
+            self.log.iter().filter(|change| change.revision > revision && in_range(&change.key, key, end));
+        for change in later.rev() {
+            then.insert(&change.key, change.before.as_ref());
         }
         then.into_values().flatten().cloned().collect()
     }
@@ -212,9 +220,10 @@
     fn within<'a>(&'a self, key: &[u8], end: &[u8]) -> impl Iterator<Item = &'a KeyValue> {
         let (key, end) = (key.to_vec(), end.to_vec());
         let from = self.keys.range(key.clone()..);
-        from.take_while(move |(found, _)| inside(found, &key, &end)).map(|(_, kv)| kv)
+        from.take_while(move |(found, _)| in_range(found, &key, &end)).map(|(_, kv)| kv)
     }
 
+    /// Reads a range, at an earlier revision if one is requested.
     pub fn range(&self, request: &RangeRequest) -> Result<RangeResponse, Refusal> {
         if request.revision > self.revision {
             return Err(Refusal::FutureRevision);
@@ -230,13 +239,13 @@
         } else {
             self.within(&request.key, &request.range_end).filter(newer).collect()
         };
-        let most = if request.limit > 0 { request.limit as usize } else { usize::MAX };
+        let limit = if request.limit > 0 { request.limit as usize } else { usize::MAX };
         let value = |kv: &KeyValue| if request.keys_only { Vec::new() } else { kv.value.clone() };
-        let shown = all.iter().take(if request.count_only { 0 } else { most });
+        let shown = all.iter().take(if request.count_only { 0 } else { limit });
         Ok(RangeResponse {
             header: Some(self.header()),
             kvs: shown.map(|kv| KeyValue { value: value(kv), ..(*kv).clone() }).collect(),
-            more: all.len() > most,
+            more: all.len() > limit,
             count: all.len() as i64,
         })
     }
@@ -270,11 +279,11 @@
         }
     }
 
-    fn holds(&self, compare: &Compare) -> bool {
-        let none = KeyValue::default();
+    fn compare_holds(&self, compare: &Compare) -> bool {
+        let missing = KeyValue::default();
         let kv = self.keys.get(&compare.key);
-        // A key that is not there has no value to compare, and 0 for all else.
-        let found = kv.unwrap_or(&none);
+        // A missing key has no value to compare, and 0 for everything else.
+        let found = kv.unwrap_or(&missing);
         let order = match (compare.target(), &compare.target_union) {
             (CompareTarget::Version, Some(TargetUnion::Version(n))) => found.version.cmp(n),
             (CompareTarget::Create, Some(TargetUnion::CreateRevision(n))) => found.create_revision.cmp(n),
@@ -294,8 +303,8 @@
         }
     }
 
-    /// Why operations would be refused, which undoes a transaction whole.
-    fn refuses(&self, operations: &[RequestOp]) -> Result<(), Refusal> {
+    /// Returns an error if any of the operations would be refused, in which case none of them is executed.
+    fn check(&self, operations: &[RequestOp]) -> Result<(), Refusal> {
         let mut keys = BTreeSet::new();
         for operation in operations {
             match &operation.request {
@@ -316,22 +325,22 @@
         Ok(())
     }
 
-    /// All of a transaction or, where it is refused, nothing of it. Its writes have one revision.
+    /// Executes a transaction in full or, if it is refused, not at all. Its writes share one revision.
     pub fn txn(&mut self, request: &TxnRequest) -> Result<TxnResponse, Refusal> {
         let sizes = [request.compare.len(), request.success.len(), request.failure.len()];
-        if sizes.into_iter().any(|size| size > MOST_OPS) {
+        if sizes.into_iter().any(|size| size > MAX_TXN_OPS) {
             return Err(Refusal::TooManyOps);
         }
-        let (mut response, wrote) = self.carry_out(request, self.revision + 1)?;
+        let (mut response, wrote) = self.execute(request, self.revision + 1)?;
         self.revision += i64::from(wrote);
         response.header = Some(self.header());
         Ok(response)
     }
 
-    fn carry_out(&mut self, request: &TxnRequest, revision: i64) -> Result<(TxnResponse, bool), Refusal> {
-        let succeeded = request.compare.iter().all(|compare| self.holds(compare));
+    fn execute(&mut self, request: &TxnRequest, revision: i64) -> Result<(TxnResponse, bool), Refusal> {
+        let succeeded = request.compare.iter().all(|compare| self.compare_holds(compare));
         let operations = if succeeded { &request.success } else { &request.failure };
-        self.refuses(operations)?;
+        self.check(operations)?;
         let (mut responses, mut wrote) = (Vec::new(), false);
         for RequestOp { request } in operations {
             let response = match request {
@@ -346,7 +355,7 @@
                     Response::ResponseDeleteRange(deleted)
                 }
                 Some(Request::RequestTxn(inner)) => {
-                    let (response, inner) = self.carry_out(inner, revision)?;
+                    let (response, inner) = self.execute(inner, revision)?;
                     wrote |= inner;
                     Response::ResponseTxn(response)
                 }
--- a/crates/standin/src/store/server.rs
+++ b/crates/standin/src/store/server.rs
@@ -1,4 +1,4 @@
-//! The stand-in on a socket.
+//! The stand-in's gRPC server.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -19,16 +19,16 @@
 use super::mvcc::{Mvcc, Refusal};
 use crate::Clock;
 
-/// What goes wrong from now on.
+/// Faults injected into the store.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// Nothing is carried out; callers hear that the store is away.
+    /// Nothing is executed; calls fail as unavailable.
     pub away: bool,
-    /// How long each call takes before it is carried out.
+    /// Delay before each call is executed.
     pub slow: Duration,
-    /// So many transactions and grants of leases are carried out, and their answers lost.
+    /// Number of transactions and lease grants that are executed but whose responses are lost.
     pub lose_answers: u32,
-    /// So many transactions are carried out only this long after their callers heard that nothing is known.
+    /// Number of transactions that are executed only after this delay, while their callers get an error at once.
     pub late: u32,
     pub late_by: Duration,
 }
@@ -40,7 +40,7 @@
 }
 
 impl Inner {
-    /// Sends an answer, unless it is one that is to be lost.
+    /// Returns the response, or an error if it is to be lost.
     fn answer<T>(&mut self, answer: T) -> Result<Response<T>, Status> {
         if self.faults.lose_answers == 0 {
             return Ok(Response::new(answer));
@@ -50,14 +50,14 @@
     }
 }
 
-/// A handle on the store, for tests and days; the sockets share it.
+/// The store; clones share its state.
 #[derive(Clone)]
 pub struct Store {
     inner: Arc<Mutex<Inner>>,
     clock: Clock,
 }
 
-fn refused(refusal: Refusal) -> Status {
+fn refusal_status(refusal: Refusal) -> Status {
     match refusal {
         Refusal::LeaseNotFound => Status::not_found("etcdserver: requested lease not found"),
         Refusal::LeaseExists => Status::failed_precondition("etcdserver: lease already exists"),
@@ -83,31 +83,34 @@
         inner
     }
 
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: Faults) {
         self.lock().faults = faults;
     }
 
-    /// Calls that came in so far.
+    /// Returns the number of calls received.
     pub fn requests(&self) -> u64 {
         self.lock().requests
     }
 
-    /// The value of a key, and its revision.
+    /// Returns the value of a key and its revision.
     pub fn get(&self, key: &[u8]) -> Option<(Vec<u8>, i64)> {
         let range = RangeRequest { key: key.to_vec(), ..RangeRequest::default() };
         let found = self.lock().mvcc.range(&range).ok()?;
         found.kvs.into_iter().next().map(|kv| (kv.value, kv.mod_revision))
     }
 
-    /// All changes of keys so far.
+    /// Returns all changes of keys that are kept.
     pub fn changes(&self) -> Vec<super::Change> {
         self.lock().mvcc.changes()
     }
 
+    /// Returns the changes of keys after a revision.
     pub fn changes_after(&self, revision: i64) -> Vec<super::Change> {
         self.lock().mvcc.changes_after(revision)
     }
 
+    /// Returns the current revision.
     pub fn revision(&self) -> i64 {
         self.lock().mvcc.header().revision
     }
@@ -116,22 +119,23 @@
         self.clock.now()
     }
 
-    /// The leases that there are.
+    /// Returns the ids of all leases.
     pub fn leases(&self) -> Vec<i64> {
         self.lock().mvcc.leases()
     }
 
-    /// Loses a lease before its time.
+    /// Revokes a lease before it expires.
     pub fn lose_lease(&self, id: i64) {
         let _ = self.lock().mvcc.revoke(id);
     }
 
-    /// Writes a key.
+    /// Writes a key, without a lease.
     pub fn put_key(&self, key: &str, value: &str) {
         let put = PutRequest { key: key.into(), value: value.into(), lease: 0, prev_kv: false };
         self.write_key(Op::RequestPut(put));
     }
 
+    /// Deletes a key.
     pub fn delete_key(&self, key: &str) {
         self.write_key(Op::RequestDeleteRange(DeleteRangeRequest { key: key.into(), ..Default::default() }));
     }
@@ -141,14 +145,14 @@
         let _ = self.lock().mvcc.txn(&TxnRequest { success, ..TxnRequest::default() });
     }
 
-    /// Forgets what was before the present revision.
+    /// Discards the history before the current revision.
     pub fn compact_all(&self) {
         let mut inner = self.lock();
         let revision = inner.mvcc.header().revision;
         let _ = inner.mvcc.compact(revision);
     }
 
-    /// Forgets what was before a revision.
+    /// Discards the history before a revision; returns false if that is refused.
     pub fn compact(&self, revision: i64) -> bool {
         self.lock().mvcc.compact(revision).is_ok()
     }
@@ -161,7 +165,7 @@
             .add_service(KvServer::new(self.clone()))
             .add_service(LeaseServer::new(self.clone()))
             .add_service(WatchServer::new(self.clone()));
-        // Small answers that wait for the other side's acknowledgement would make each call take 40 ms.
+        // Without this, Nagle's algorithm and delayed acknowledgements would make each call take 40 ms.
         let incoming = TcpListenerStream::new(listener).map(|socket| {
             let socket = socket?;
             socket.set_nodelay(true)?;
@@ -171,8 +175,8 @@
         Ok(address)
     }
 
-    /// What every call meets first.
-    pub(super) async fn enter(&self) -> Result<(), Status> {
+    /// Counts a call and applies the faults that concern every call.
+    pub(super) async fn begin_call(&self) -> Result<(), Status> {
         let (away, slow) = {
             let mut inner = self.lock();
             inner.requests += 1;
@@ -185,12 +189,12 @@
         }
     }
 
-    /// One operation, as a transaction of its own.
-    async fn one(&self, op: Op) -> Result<(Option<OpResponse>, ResponseHeader), Status> {
-        self.enter().await?;
+    /// Executes one operation as a transaction of its own.
+    async fn execute_one(&self, op: Op) -> Result<(Option<OpResponse>, ResponseHeader), Status> {
+        self.begin_call().await?;
         let request = TxnRequest { success: vec![RequestOp { request: Some(op) }], ..TxnRequest::default() };
         let mut inner = self.lock();
-        let answer = inner.mvcc.txn(&request).map_err(refused)?;
+        let answer = inner.mvcc.txn(&request).map_err(refusal_status)?;
         let header = inner.mvcc.header();
         Ok((answer.responses.into_iter().next().and_then(|op| op.response), header))
     }
@@ -199,16 +203,16 @@
 #[tonic::async_trait]
 impl Kv for Store {
     async fn range(&self, request: Request<RangeRequest>) -> Result<Response<RangeResponse>, Status> {
-        self.enter().await?;
-        Ok(Response::new(self.lock().mvcc.range(request.get_ref()).map_err(refused)?))
+        self.begin_call().await?;
+        Ok(Response::new(self.lock().mvcc.range(request.get_ref()).map_err(refusal_status)?))
     }
 
     async fn put(&self, request: Request<PutRequest>) -> Result<Response<PutResponse>, Status> {
-        match self.one(Op::RequestPut(request.into_inner())).await? {
+        match self.execute_one(Op::RequestPut(request.into_inner())).await? {
             (Some(OpResponse::ResponsePut(put)), header) => {
                 Ok(Response::new(PutResponse { header: Some(header), ..put }))
             }
-            _ => Err(Status::internal("another answer than asked for")),
+            _ => Err(Status::internal("unexpected response type")),
         }
     }
 
@@ -216,11 +220,11 @@
         &self,
         request: Request<DeleteRangeRequest>,
     ) -> Result<Response<DeleteRangeResponse>, Status> {
-        match self.one(Op::RequestDeleteRange(request.into_inner())).await? {
+        match self.execute_one(Op::RequestDeleteRange(request.into_inner())).await? {
             (Some(OpResponse::ResponseDeleteRange(gone)), header) => {
                 Ok(Response::new(DeleteRangeResponse { header: Some(header), ..gone }))
             }
-            _ => Err(Status::internal("another answer than asked for")),
+            _ => Err(Status::internal("unexpected response type")),
         }
     }
 
@@ -228,14 +232,14 @@
         &self,
         request: Request<CompactionRequest>,
     ) -> Result<Response<CompactionResponse>, Status> {
-        self.enter().await?;
+        self.begin_call().await?;
         let mut inner = self.lock();
-        inner.mvcc.compact(request.get_ref().revision).map_err(refused)?;
+        inner.mvcc.compact(request.get_ref().revision).map_err(refusal_status)?;
         Ok(Response::new(CompactionResponse { header: Some(inner.mvcc.header()) }))
     }
 
     async fn txn(&self, request: Request<TxnRequest>) -> Result<Response<TxnResponse>, Status> {
-        self.enter().await?;
+        self.begin_call().await?;
         let request = request.into_inner();
         let late = {
             let mut inner = self.lock();
@@ -252,7 +256,7 @@
             return Err(Status::unavailable("etcdserver: request timed out"));
         }
         let mut inner = self.lock();
-        let answer = inner.mvcc.txn(&request).map_err(refused)?;
+        let answer = inner.mvcc.txn(&request).map_err(refusal_status)?;
         inner.answer(answer)
     }
 }
@@ -263,11 +267,11 @@
         &self,
         request: Request<LeaseGrantRequest>,
     ) -> Result<Response<LeaseGrantResponse>, Status> {
-        self.enter().await?;
+        self.begin_call().await?;
         let LeaseGrantRequest { ttl, id } = request.into_inner();
         let now = self.clock.now();
         let mut inner = self.lock();
-        let id = inner.mvcc.grant(now, id, ttl).map_err(refused)?;
+        let id = inner.mvcc.grant(now, id, ttl).map_err(refusal_status)?;
         let header = Some(inner.mvcc.header());
         inner.answer(LeaseGrantResponse { header, id, ttl: ttl.max(1), error: String::new() })
     }
@@ -276,9 +280,9 @@
         &self,
         request: Request<LeaseRevokeRequest>,
     ) -> Result<Response<LeaseRevokeResponse>, Status> {
-        self.enter().await?;
+        self.begin_call().await?;
         let mut inner = self.lock();
-        inner.mvcc.revoke(request.get_ref().id).map_err(refused)?;
+        inner.mvcc.revoke(request.get_ref().id).map_err(refusal_status)?;
         Ok(Response::new(LeaseRevokeResponse { header: Some(inner.mvcc.header()) }))
     }
 
@@ -292,7 +296,7 @@
         let (store, mut requests) = (self.clone(), request.into_inner());
         tokio::spawn(async move {
             while let Ok(Some(LeaseKeepAliveRequest { id })) = requests.message().await {
-                let answer = store.enter().await.map(|()| {
+                let answer = store.begin_call().await.map(|()| {
                     let now = store.clock.now();
                     let mut inner = store.lock();
                     let ttl = inner.mvcc.renew(now, id);
