--- a/crates/platform-net/src/lib.rs
+++ b/crates/platform-net/src/lib.rs
@@ -18,28 +18,31 @@
 use serde_json::Value;
 use tokio::sync::{oneshot, watch};
 
-/// What the sockets tell the core, in the order in which each of them says it.
+/// Input from the socket tasks to the session loop, in the order in which each task sends it.
 enum Event {
+    /// A collector's report.
     Report(Value),
-    /// A line of the subscription with this number.
-    News(u64, String),
-    /// This subscription is over, and why.
-    NewsLost(u64, String),
+    /// A line received on the subscription with this number.
+    Notification(u64, String),
+    /// The subscription with this number has ended, with the reason.
+    SubscriptionLost(u64, String),
+    /// The relay's answer to the call in progress.
     Answer(String),
-    /// The call under way broke; whether the relay may have it.
+    /// The call in progress failed: true if the relay may have received it, and the reason.
     CallLost(bool, String),
-    /// A list, whether the whole was asked for, and whom to tell its version if it can be used.
+    /// A host list, true if it is a full one, and where to send its version (`None` if it can't be used).
     List(Bytes, bool, oneshot::Sender<Option<u64>>),
 }
 
-/// Events that may wait for the core; sockets are read no further where it is full.
-const EVENTS: usize = 256;
+/// Events that may wait for the session loop. Sockets are not read further while the queue is full.
+const EVENT_QUEUE_CAPACITY: usize = 256;
 
-/// Waits until one address is another than `from`, whatever becomes of the others. Fails where the core is gone.
-async fn moved(
+/// Waits until the address that `select` returns differs from `from`; changes of other addresses are ignored.
+/// Fails if the session loop has ended.
+async fn address_changed(
     addresses: &mut watch::Receiver<Addresses>,
-    of: fn(&Addresses) -> SocketAddr,
+    select: fn(&Addresses) -> SocketAddr,
     from: SocketAddr,
 ) -> Result<(), watch::error::RecvError> {
-    addresses.wait_for(|new| of(new) != from).await.map(drop)
+    addresses.wait_for(|new| select(new) != from).await.map(drop)
 }
--- a/crates/platform-net/src/lines.rs
+++ b/crates/platform-net/src/lines.rs
@@ -1,19 +1,19 @@
-//! Lines of the relay, each with its end.
+//! Codec for the relay's lines, which ignores a line without its terminator.
 
 use bytes::BytesMut;
 use tokio_util::codec::{Decoder, Encoder, LinesCodec, LinesCodecError};
 
-/// As [`LinesCodec`], but that what a close leaves of a line is not taken for one: half of an answer may read like a
-/// whole one, and half of some news would be held against the next subscription.
-pub struct WholeLines(LinesCodec);
+/// A [`LinesCodec`] that drops an unterminated line at the end of the stream: half of an answer may parse as
+/// a whole one, and half of a notification would be held against the next subscription.
+pub struct CompleteLines(LinesCodec);
 
-impl WholeLines {
-    pub fn new(most: usize) -> WholeLines {
-        WholeLines(LinesCodec::new_with_max_length(most))
+impl CompleteLines {
+    pub fn new(max_length: usize) -> CompleteLines {
+        CompleteLines(LinesCodec::new_with_max_length(max_length))
     }
 }
 
-impl Decoder for WholeLines {
+impl Decoder for CompleteLines {
     type Item = String;
     type Error = LinesCodecError;
 
@@ -30,7 +30,7 @@
     }
 }
 
-impl Encoder<String> for WholeLines {
+impl Encoder<String> for CompleteLines {
     type Error = LinesCodecError;
 
     fn encode(&mut self, line: String, buffer: &mut BytesMut) -> Result<(), LinesCodecError> {
--- a/crates/platform-net/src/listener.rs
+++ b/crates/platform-net/src/listener.rs
@@ -1,4 +1,5 @@
-//! The steward's own address: unidentified peers until they have said who they are, collectors from then on.
+//! The steward's own address: accepts peers, which are unidentified until they send their zone and collectors
+//! from then on.
 
 mod peer;
 
@@ -17,34 +18,36 @@
 use tokio_util::task::TaskTracker;
 
 use crate::Event;
-use peer::{Next, Peer, GREETING};
+use peer::{Peer, Received, GREETING_TIMEOUT};
 
-/// Connections kept for one zone: its collector may come again before the connection before is known to be dead.
-const FOR_ZONE: usize = 4;
+/// Connections kept for one zone: its collector may reconnect before its last connection is known to be dead.
+const MAX_PER_ZONE: usize = 4;
 
-/// Descriptors that unidentified peers never take: for collectors, relay, discovery, files and what the runtime needs.
-const KEPT_FREE: usize = 96;
+/// Descriptors that unidentified peers never use: for collectors, the relay, discovery, files and the
+/// runtime.
+const RESERVED_DESCRIPTORS: usize = 96;
 
-/// Connections that may still owe answers after they were asked to end: past that the next ones wait in the backlog. Guards the
-/// descriptors against peers that take in no answer.
-const ENDING: usize = 32;
+/// Connections that may still owe answers after they were asked to close; beyond that the next ones wait in
+/// the backlog. Guards the descriptors against peers that don't read their answers.
+const MAX_CLOSING: usize = 32;
 
-/// What the steward listens with.
+/// The listening socket and what the tasks of its connections need.
 pub struct Listener {
     pub listener: TcpListener,
     pub zones: Arc<[String]>,
     pub events: mpsc::Sender<Event>,
-    /// Descriptors that the process may hold.
+    /// The limit of descriptors of the process.
     pub sockets: usize,
     /// All connections' tasks.
     pub connections: Connections,
 }
 
-/// The tasks of all connections, which end by themselves once they are asked to: what was read of a connection is answered.
+/// The tasks of all connections. Asked to close, they answer the requests that were read and end by
+/// themselves.
 #[derive(Clone, Default)]
 pub struct Connections {
     tasks: TaskTracker,
-    ending: CancellationToken,
+    closing: CancellationToken,
 }
 
 impl Connections {
@@ -52,153 +55,155 @@
         self.tasks.spawn(task).abort_handle()
     }
 
-    /// Asks all connections to end: nothing more is read of them.
-    pub fn ask_to_end(&self) {
-        self.ending.cancel();
+    /// Asks all connections to close: nothing more is read from them.
+    pub fn request_close(&self) {
+        self.closing.cancel();
         self.tasks.close();
     }
 
-    /// Waits until all have ended, until then at most.
-    pub async fn ended(&self, until: Instant) {
+    /// Waits until all tasks have ended, at most until the given time.
+    pub async fn wait_closed(&self, until: Instant) {
         let _ = timeout_at(until, self.tasks.wait()).await;
     }
 }
 
-/// A connection's task, and how it is asked to end.
+/// A connection's task and the token that asks it to close.
 struct Connection {
     task: AbortHandle,
-    ending: CancellationToken,
+    closing: CancellationToken,
 }
 
-/// An unidentified peer that has become a collector.
+/// Sent when an unidentified peer has become a collector.
 struct Joined {
     task: tokio::task::Id,
     zone: usize,
-    heard: Arc<Heartbeat>,
+    last_report: Arc<LastReport>,
 }
 
-/// What the tasks of connections have in common.
+/// State shared by the tasks of all connections.
 #[derive(Clone)]
-struct Core {
+struct Shared {
     zones: Arc<[String]>,
     events: mpsc::Sender<Event>,
     joined: mpsc::Sender<Joined>,
-    began: Instant,
+    started: Instant,
 }
 
-/// Serves an unidentified peer until it joins or is turned away. The same task serves the collector from then on: guards against a
-/// peer that is on its way to another task, with requests that were read, as the process ends.
-async fn greet(mut peer: Peer, core: Core) {
-    let by = Instant::now() + GREETING;
+/// Serves an unidentified peer until it joins as a collector or is rejected. The same task then serves the
+/// collector: a peer handed over to another task could be lost with requests that were read if the process
+/// ended meanwhile.
+async fn serve_unidentified(mut peer: Peer, shared: Shared) {
+    let deadline = Instant::now() + GREETING_TIMEOUT;
     loop {
-        let frame = match timeout_at(by, peer.next()).await {
-            Ok(Next::Frame(frame)) => frame,
-            Ok(Next::Ended | Next::Broken) => return,
-            Err(_) | Ok(Next::Unreadable) => return peer.turn_away().await,
+        let frame = match timeout_at(deadline, peer.next()).await {
+            Ok(Received::Frame(frame)) => frame,
+            Ok(Received::Closed | Received::Broken) => return,
+            Err(_) | Ok(Received::Unreadable) => return peer.reject().await,
         };
-        match decode(&frame, false, &core.zones) {
-            Ok(Message::Ping) if !peer.pong().await => return,
-            // One that pings without end is no collector all the same.
-            Ok(Message::Ping) if Instant::now() < by => {}
-            Ok(Message::Source(zone)) => return join(peer, zone, &core).await,
-            _ => return peer.turn_away().await,
+        match decode(&frame, false, &shared.zones) {
+            Ok(Message::Ping) if !peer.queue_pong().await => return,
+            // A peer that only pings until the deadline is rejected too.
+            Ok(Message::Ping) if Instant::now() < deadline => {}
+            Ok(Message::Source(zone)) => return serve_collector(peer, zone, &shared).await,
+            _ => return peer.reject().await,
         }
     }
 }
 
-/// The peer is the collector of this zone from here on.
-async fn join(mut peer: Peer, zone: usize, core: &Core) {
-    peer.is_collector();
-    if !peer.answered().await {
+/// Serves the peer as the collector of this zone from here on.
+async fn serve_collector(mut peer: Peer, zone: usize, shared: &Shared) {
+    peer.promote_to_collector();
+    if !peer.flush_answers().await {
         return;
     }
-    let heard = Heartbeat::new(core.began);
-    let joined = Joined { task: tokio::task::id(), zone, heard: heard.clone() };
-    // At the end of the process nobody counts collectors any more.
-    let _ = core.joined.send(joined).await;
-    collect(peer, core, &heard).await;
+    let last_report = LastReport::new(shared.started);
+    let joined = Joined { task: tokio::task::id(), zone, last_report: last_report.clone() };
+    // The receiver is gone while the process ends; nothing counts collectors then.
+    let _ = shared.joined.send(joined).await;
+    pass_on_reports(peer, shared, &last_report).await;
 }
 
-/// Passes on what a collector reports, until what it sends can't be read any more.
-async fn collect(mut peer: Peer, core: &Core, heard: &Heartbeat) {
-    let ending = peer.ending().clone();
+/// Passes on a collector's reports until it sends something that can't be read.
+async fn pass_on_reports(mut peer: Peer, shared: &Shared, last_report: &LastReport) {
+    let closing = peer.closing().clone();
     loop {
         let frame = match peer.next().await {
-            Next::Frame(frame) => frame,
-            Next::Ended | Next::Broken => return,
-            Next::Unreadable => break,
+            Received::Frame(frame) => frame,
+            Received::Closed | Received::Broken => return,
+            Received::Unreadable => break,
         };
-        match decode(&frame, true, &core.zones) {
+        match decode(&frame, true, &shared.zones) {
             Ok(Message::Report(report)) => {
-                heard.beat();
-                // No answer waits for the core to take in a report.
-                if !peer.answered().await {
+                last_report.update();
+                // Answers aren't delayed until the session loop accepts a report.
+                if !peer.flush_answers().await {
                     return;
                 }
-                // A report is owed no answer; requests that were read behind it are.
+                // A report needs no answer, but requests that were read after it do.
                 tokio::select! {
-                    () = ending.cancelled() => {}
-                    _ = core.events.send(Event::Report(report)) => {}
+                    () = closing.cancelled() => {}
+                    _ = shared.events.send(Event::Report(report)) => {}
                 }
             }
-            Ok(Message::Ping) if !peer.pong().await => return,
+            Ok(Message::Ping) if !peer.queue_pong().await => return,
             Ok(Message::Ping) => {}
             _ => break,
         }
     }
-    peer.turn_away().await;
+    peer.reject().await;
 }
 
-/// When a collector last reported, or joined.
-struct Heartbeat {
-    began: Instant,
-    us: AtomicU64,
+/// The time at which a collector last reported, or joined.
+struct LastReport {
+    started: Instant,
+    micros: AtomicU64,
 }
 
-impl Heartbeat {
-    fn new(began: Instant) -> Arc<Heartbeat> {
-        let new = Heartbeat { began, us: AtomicU64::new(0) };
-        new.beat();
+impl LastReport {
+    fn new(started: Instant) -> Arc<LastReport> {
+        let new = LastReport { started, micros: AtomicU64::new(0) };
+        new.update();
         Arc::new(new)
     }
 
-    fn beat(&self) {
-        self.us.store(self.began.elapsed().as_micros() as u64, Ordering::Relaxed);
+    fn update(&self) {
+        self.micros.store(self.started.elapsed().as_micros() as u64, Ordering::Relaxed);
     }
 }
 
-/// Asks those to end that have been quiet the longest, past [`FOR_ZONE`]: by age alone, peers that claim to be a zone's
-/// collector and say nothing would throw out the one that reports.
-fn bound_zone(collectors: &mut Vec<(Connection, Arc<Heartbeat>)>) {
+/// Asks the collectors of a zone that have been idle the longest to close, beyond [`MAX_PER_ZONE`]. By
+/// connection age alone, peers that claim a zone and report nothing would push out the collector that
+/// reports.
+fn limit_collectors(collectors: &mut Vec<(Connection, Arc<LastReport>)>) {
     collectors.retain(|(connection, _)| !connection.task.is_finished());
-    while collectors.len() > FOR_ZONE {
-        let quiet = |n: &usize| collectors[*n].1.us.load(Ordering::Relaxed);
-        let Some(quietest) = (0..collectors.len()).min_by_key(quiet) else { return };
-        collectors.remove(quietest).0.ending.cancel();
+    while collectors.len() > MAX_PER_ZONE {
+        let last_report_at = |index: &usize| collectors[*index].1.micros.load(Ordering::Relaxed);
+        let Some(most_idle) = (0..collectors.len()).min_by_key(last_report_at) else { return };
+        collectors.remove(most_idle).0.closing.cancel();
     }
 }
 
-/// Asks the oldest that are still there to end, past so many.
-fn bound(unidentified: &mut VecDeque<Connection>, most: usize) {
+/// Asks the oldest unidentified connections to close until at most `max` are left.
+fn limit_unidentified(unidentified: &mut VecDeque<Connection>, max: usize) {
     unidentified.retain(|connection| !connection.task.is_finished());
-    while unidentified.len() > most {
-        unidentified.pop_front().into_iter().for_each(|oldest| oldest.ending.cancel());
+    while unidentified.len() > max {
+        unidentified.pop_front().into_iter().for_each(|oldest| oldest.closing.cancel());
     }
 }
 
-/// Takes the next connection, once there is a place for it.
+/// Accepts the next connection once a permit is available.
 async fn accept(
     listener: &TcpListener,
-    places: &Arc<Semaphore>,
+    permits: &Arc<Semaphore>,
 ) -> std::io::Result<(TcpStream, OwnedSemaphorePermit)> {
-    let place = places.clone().acquire_owned().await.map_err(std::io::Error::other)?;
+    let permit = permits.clone().acquire_owned().await.map_err(std::io::Error::other)?;
     let (socket, _) = listener.accept().await?;
-    Ok((socket, place))
+    Ok((socket, permit))
 }
 
-/// An error that the connection itself brings, as Linux passes those on, or that says nothing at all: the next one may be
-/// taken at once, and nobody has to go.
-fn is_of_the_connection(error: &std::io::Error) -> bool {
+/// Returns true for errors of the accepted connection itself, which Linux reports in `accept`, and for
+/// spurious ones: the next connection may be accepted at once, and none has to be closed.
+fn is_connection_error(error: &std::io::Error) -> bool {
     use std::io::ErrorKind::{
         ConnectionAborted, ConnectionReset, HostUnreachable, Interrupted, NetworkDown, NetworkUnreachable,
         TimedOut,
@@ -215,50 +220,51 @@
     )
 }
 
-/// Never returns while the core lives.
-pub async fn open(with: Listener) {
-    let Listener { listener, zones, events, sockets, connections } = with;
-    let for_zones = FOR_ZONE * zones.len();
-    let most = sockets.saturating_sub(KEPT_FREE + for_zones).max(16);
-    let places = Arc::new(Semaphore::new(most + for_zones + ENDING));
+/// Accepts connections and bounds their number. Never returns.
+pub async fn accept_peers(setup: Listener) {
+    let Listener { listener, zones, events, sockets, connections } = setup;
+    let for_collectors = MAX_PER_ZONE * zones.len();
+    let max = sockets.saturating_sub(RESERVED_DESCRIPTORS + for_collectors).max(16);
+    let permits = Arc::new(Semaphore::new(max + for_collectors + MAX_CLOSING));
     let mut unidentified = VecDeque::new();
     let mut collectors: Vec<Vec<_>> = zones.iter().map(|_| Vec::new()).collect();
     let (joined, mut joining) = mpsc::channel(16);
-    let core = Core { zones, events, joined, began: Instant::now() };
+    let shared = Shared { zones, events, joined, started: Instant::now() };
     loop {
         tokio::select! {
-            biased;
-            Some(Joined { task, zone, heard }) = joining.recv() => {
-                let place = unidentified.iter().position(|peer: &Connection| peer.task.id() == task);
-                // One that was asked to end meanwhile is none.
-                if let Some(collector) = place.and_then(|place| unidentified.remove(place)) {
-                    collectors[zone].push((collector, heard));
-                    bound_zone(&mut collectors[zone]);
+                    biased;
+                    Some(Joined { task, zone, last_report }) = joining.recv() => {
+                        let index = unidentified.iter().position(|peer: &Connection| peer.task.id() == task);
+                        // A peer that was asked to close meanwhile isn't counted as a collector.
+                        if let Some(collector) = index.and_then(|index| unidentified.remove(index)) {
+                            collectors[zone].push((collector, last_report));
+                            limit_collectors(&mut collectors[zone]);
+                        }
+                    }
+                    accepted = accept(&listener, &permits) => match accepted {
+                        Ok((socket, permit)) => {
+                            let closing = connections.closing.child_token();
+                            let serving = serve_unidentified(Peer::new(socket, closing.clone()), shared.clone());
+                            let task = connections.spawn(async move {
+        serving.await;
+                                drop(permit);
+                            });
+                            unidentified.push_back(Connection { task, closing });
+                            limit_unidentified(&mut unidentified, max);
+                        }
+                        Err(error) if is_connection_error(&error) => {
+                            tracing::debug!(%error, "a connection was closed before it was accepted");
+                            tokio::time::sleep(Duration::from_millis(1)).await;
+                        }
+                        Err(error) => {
+                            // For one, out of descriptors: close unidentified peers and pause before the next
+                            // accept.
+                            tracing::warn!(%error, "no connection can be taken");
+                            limit_unidentified(&mut unidentified, max / 2);
+                            tokio::time::sleep(Duration::from_millis(20)).await;
+                        }
+                    },
                 }
-            }
-            accepted = accept(&listener, &places) => match accepted {
-                Ok((socket, place)) => {
-                    let ending = connections.ending.child_token();
-                    let greeting = greet(Peer::new(socket, ending.clone()), core.clone());
-                    let task = connections.spawn(async move {
-                        greeting.await;
-                        drop(place);
-                    });
-                    unidentified.push_back(Connection { task, ending });
-                    bound(&mut unidentified, most);
-                }
-                Err(error) if is_of_the_connection(&error) => {
-                    tracing::debug!(%error, "a connection is gone before it is taken");
-                    tokio::time::sleep(Duration::from_millis(1)).await;
-                }
-                Err(error) => {
-                    // Out of descriptors, for one: unidentified peers go, and the next ones wait a moment.
-                    tracing::warn!(%error, "no connection can be taken");
-                    bound(&mut unidentified, most / 2);
-                    tokio::time::sleep(Duration::from_millis(20)).await;
-                }
-            },
-        }
     }
 }
 
--- a/crates/platform-net/src/listener/tests.rs
+++ b/crates/platform-net/src/listener/tests.rs
@@ -1,38 +1,38 @@
-//! Whom the bound on unidentified peers asks to end.
+//! The limit on unidentified peers closes the oldest connections.
 
 use super::*;
 
-/// A peer that says nothing, as nobody has read it yet.
-fn silent() -> Connection {
+/// A connection whose peer has sent nothing.
+fn idle_connection() -> Connection {
     Connection {
         task: tokio::spawn(std::future::pending::<()>()).abort_handle(),
-        ending: CancellationToken::new(),
+        closing: CancellationToken::new(),
     }
 }
 
-/// One that has just connected may have said who it is: its greeting is read by its own task, and told later.
+/// A new peer may have sent its greeting already: its own task reads it and reports later.
 #[tokio::test]
-async fn the_oldest_goes_and_the_one_that_has_just_come_stays() {
-    let mut unidentified: VecDeque<Connection> = (0..5).map(|_| silent()).collect();
-    let ending: Vec<CancellationToken> = unidentified.iter().map(|peer| peer.ending.clone()).collect();
-    bound(&mut unidentified, 3);
-    let asked: Vec<bool> = ending.iter().map(CancellationToken::is_cancelled).collect();
-    assert_eq!(asked, [true, true, false, false, false]);
+async fn the_oldest_are_closed_and_the_newest_stay() {
+    let mut unidentified: VecDeque<Connection> = (0..5).map(|_| idle_connection()).collect();
+    let closing: Vec<CancellationToken> = unidentified.iter().map(|peer| peer.closing.clone()).collect();
+    limit_unidentified(&mut unidentified, 3);
+    let cancelled: Vec<bool> = closing.iter().map(CancellationToken::is_cancelled).collect();
+    assert_eq!(cancelled, [true, true, false, false, false]);
     assert_eq!(unidentified.len(), 3);
 }
 
-/// Those that have ended take no place, and nobody goes for them.
+/// Ended connections don't count, and none is closed for them.
 #[tokio::test]
-async fn nobody_goes_where_there_is_a_place() {
-    let mut unidentified: VecDeque<Connection> = (0..4).map(|_| silent()).collect();
-    let ending: Vec<CancellationToken> = unidentified.iter().map(|peer| peer.ending.clone()).collect();
-    for gone in unidentified.iter().skip(2) {
-        gone.task.abort();
+async fn none_is_closed_below_the_limit() {
+    let mut unidentified: VecDeque<Connection> = (0..4).map(|_| idle_connection()).collect();
+    let closing: Vec<CancellationToken> = unidentified.iter().map(|peer| peer.closing.clone()).collect();
+    for ended in unidentified.iter().skip(2) {
+        ended.task.abort();
     }
     while unidentified.iter().filter(|peer| peer.task.is_finished()).count() < 2 {
         tokio::task::yield_now().await;
     }
-    bound(&mut unidentified, 2);
+    limit_unidentified(&mut unidentified, 2);
     assert_eq!(unidentified.len(), 2);
-    assert!(!ending.iter().any(CancellationToken::is_cancelled));
+    assert!(!closing.iter().any(CancellationToken::is_cancelled));
 }
--- a/crates/platform-net/src/relay.rs
+++ b/crates/platform-net/src/relay.rs
@@ -1,4 +1,4 @@
-//! The relay: a connection for calls, one at a time, and one for its news.
+//! Client of the relay: a connection for calls, one at a time, and one for the subscription.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,51 +10,55 @@
 use tokio::time::{timeout, Instant};
 use tokio_util::codec::Framed;
 
-use crate::lines::WholeLines;
-use crate::{moved, Event};
+use crate::lines::CompleteLines;
+use crate::{address_changed, Event};
 
-/// The longest line taken in; answers and news are some hundred bytes.
-const MOST_LINE: usize = 1 << 20;
+/// The longest line accepted, in bytes; answers and notifications have some hundred.
+const MAX_LINE: usize = 1 << 20;
 
-/// An address on the platform's own network takes a connection at once or not at all.
-const CONNECT: Duration = Duration::from_millis(300);
+/// An address on the platform's own network accepts a connection at once or not at all.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// An answer comes within 50 ms or never; some more for a process that has to wait for its core.
-const ANSWER: Duration = Duration::from_millis(60);
+/// The relay answers within 50 ms or never; the rest is for a process that has to wait for its CPU.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// The relay closes what is idle for some seconds: a connection is left well before.
-const IDLE: Duration = Duration::from_secs(3);
+/// The relay closes connections that are idle for some seconds; a connection is replaced well before.
+const MAX_IDLE: Duration = Duration::from_secs(3);
 
-/// News come with a sign of life every second. Two missed and some: the connection is dead.
-const SILENT: Duration = Duration::from_millis(1_000 * SILENCE as u64 / SECOND as u64);
+/// The longest time without a notification: the relay sends a heartbeat every second, and after two missed
+/// ones and some slack the connection is dead.
+const READ_TIMEOUT: Duration = Duration::from_millis(1_000 * SILENCE as u64 / SECOND as u64);
 
-/// Between two subscriptions that failed.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Pause between two subscriptions that failed at once.
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-struct Line {
+/// A connection to the relay, read and written line by line.
+struct Connection {
     at: SocketAddr,
-    lines: Framed<TcpStream, WholeLines>,
-    used: Instant,
+    framed: Framed<TcpStream, CompleteLines>,
+    last_used: Instant,
 }
 
-impl Line {
-    async fn connect(at: SocketAddr) -> Result<Line, String> {
-        let socket = timeout(CONNECT, TcpStream::connect(at)).await.map_err(|_| "no connection in time")?;
+impl Connection {
+    async fn connect(at: SocketAddr) -> Result<Connection, String> {
+        let socket =
+            timeout(CONNECT_TIMEOUT, TcpStream::connect(at)).await.map_err(|_| "no connection in time")?;
         let socket = socket.map_err(|e| e.to_string())?;
         let _ = socket.set_nodelay(true);
-        let lines = Framed::new(socket, WholeLines::new(MOST_LINE));
-        Ok(Line { at, lines, used: Instant::now() })
+        let framed = Framed::new(socket, CompleteLines::new(MAX_LINE));
+        Ok(Connection { at, framed, last_used: Instant::now() })
     }
 
     async fn next(&mut self, within: Duration) -> Result<String, String> {
-        let line = timeout(within, self.lines.next()).await.map_err(|_| "silent")?;
+        let line = timeout(within, self.framed.next()).await.map_err(|_| "silent")?;
         line.ok_or("closed")?.map_err(|e| e.to_string())
     }
 
-    /// Whether it can take a call. What has come since the last answer answers none to come.
-    fn usable(&mut self) -> bool {
+    /// Returns true if the connection can carry a call. Discards what has arrived since the last answer, as
+    /// it answers no call to come.
+    fn is_usable(&mut self) -> bool {
         loop {
-            match self.lines.next().now_or_never() {
+            match self.framed.next().now_or_never() {
                 None => return true,
                 Some(Some(Ok(_))) => {}
                 Some(_) => return false,
@@ -62,41 +66,44 @@
         }
     }
 
-    async fn call(&mut self, call: String) -> Result<String, String> {
-        self.used = Instant::now();
-        let sent = timeout(ANSWER, self.lines.send(call)).await.map_err(|_| "it takes nothing in")?;
+    async fn call(&mut self, text: String) -> Result<String, String> {
+        self.last_used = Instant::now();
+        let sent =
+            timeout(ANSWER_TIMEOUT, self.framed.send(text)).await.map_err(|_| "it takes nothing in")?;
         sent.map_err(|e| e.to_string())?;
-        self.next(ANSWER).await
+        self.next(ANSWER_TIMEOUT).await
     }
 }
 
-/// Carries out one call after the other, and says of each how it ended.
-pub async fn call(
+/// Carries out calls one at a time, and reports the result of each.
+pub async fn run_calls(
     addresses: watch::Receiver<Addresses>,
     mut calls: mpsc::Receiver<Call>,
     events: mpsc::Sender<Event>,
 ) {
-    let mut line: Option<Line> = None;
+    let mut connection: Option<Connection> = None;
     while let Some(Call { line: text, anew, .. }) = calls.recv().await {
         let at = addresses.borrow().relay;
-        let left = |line: &mut Line| line.at != at || line.used.elapsed() >= IDLE || !line.usable();
-        if anew || line.as_mut().is_some_and(left) {
-            line = None;
+        let needs_reconnect = |connection: &mut Connection| {
+            connection.at != at || connection.last_used.elapsed() >= MAX_IDLE || !connection.is_usable()
+        };
+        if anew || connection.as_mut().is_some_and(needs_reconnect) {
+            connection = None;
         }
-        if line.is_none() {
-            match Line::connect(at).await {
-                Ok(new) => line = Some(new),
+        if connection.is_none() {
+            match Connection::connect(at).await {
+                Ok(new) => connection = Some(new),
                 Err(why) => {
                     let _ = events.send(Event::CallLost(false, why)).await;
                     continue;
                 }
             }
         }
-        let Some(open) = &mut line else { continue };
+        let Some(open) = &mut connection else { continue };
         let event = match open.call(text).await {
             Ok(answer) => Event::Answer(answer),
             Err(why) => {
-                line = None;
+                connection = None;
                 Event::CallLost(true, why)
             }
         };
@@ -106,47 +113,48 @@
     }
 }
 
-async fn read(at: SocketAddr, number: u64, events: &mpsc::Sender<Event>) -> Result<(), String> {
-    let mut line = Line::connect(at).await?;
+/// Subscribes and passes on notifications until the subscription ends. Fails with the reason.
+async fn read_notifications(at: SocketAddr, number: u64, events: &mpsc::Sender<Event>) -> Result<(), String> {
+    let mut connection = Connection::connect(at).await?;
     let subscribe = String::from_utf8_lossy(SUBSCRIBE).into_owned();
-    line.lines.send(subscribe).await.map_err(|e| e.to_string())?;
+    connection.framed.send(subscribe).await.map_err(|e| e.to_string())?;
     loop {
-        let news = line.next(SILENT).await?;
-        if events.send(Event::News(number, news)).await.is_err() {
+        let notification = connection.next(READ_TIMEOUT).await?;
+        if events.send(Event::Notification(number, notification)).await.is_err() {
             return Ok(());
         }
     }
 }
 
-/// Subscribes, and again whenever the news break off, fall silent, are to come from elsewhere or are of no use:
-/// `spoilt` is the number of the subscription of which that was last so. By the number, what is said of one
-/// subscription never ends the next.
-pub async fn news(
+/// Keeps a subscription: subscribes again when it breaks off, times out, moves to another address or can't be
+/// used. `unusable` holds the number of the last subscription whose notifications could not be used; by the
+/// number, a verdict on one subscription never ends the next.
+pub async fn run_subscriptions(
     mut addresses: watch::Receiver<Addresses>,
-    mut spoilt: watch::Receiver<u64>,
+    mut unusable: watch::Receiver<u64>,
     events: mpsc::Sender<Event>,
 ) {
-    let mut chance = fastrand::Rng::new();
+    let mut rng = fastrand::Rng::new();
     let mut number = 0;
     while !events.is_closed() {
         number += 1;
         let at = addresses.borrow_and_update().relay;
-        let began = Instant::now();
+        let started = Instant::now();
         let why = tokio::select! {
-            ended = read(at, number, &events) => ended.err().unwrap_or_default(),
-            no_use = spoilt.wait_for(|of| *of == number) => match no_use {
-                Ok(_) => "they can't be used".to_owned(),
+            ended = read_notifications(at, number, &events) => ended.err().unwrap_or_default(),
+            found_unusable = unusable.wait_for(|unusable| *unusable == number) => match found_unusable {
+                Ok(_) => "its notifications can't be used".to_owned(),
                 Err(_) => return,
             },
-            changed = moved(&mut addresses, |new| new.relay, at) => match changed {
+            changed = address_changed(&mut addresses, |new| new.relay, at) => match changed {
                 Ok(()) => "another address".to_owned(),
                 Err(_) => return,
             },
         };
-        let _ = events.send(Event::NewsLost(number, why)).await;
-        if began.elapsed() < PAUSE {
-            // Spread, so that stewards that lost it together don't come back together.
-            tokio::time::sleep(PAUSE / 2 + PAUSE.mul_f64(chance.f64())).await;
+        let _ = events.send(Event::SubscriptionLost(number, why)).await;
+        if started.elapsed() < RETRY_PAUSE {
+            // Random, so that stewards whose subscriptions broke together don't all return at the same time.
+            tokio::time::sleep(RETRY_PAUSE / 2 + RETRY_PAUSE.mul_f64(rng.f64())).await;
         }
     }
 }
--- a/crates/platform-net/src/retrying.rs
+++ b/crates/platform-net/src/retrying.rs
@@ -1,4 +1,4 @@
-//! A socket whose reads and writes are tried again where the system refuses them for a moment.
+//! A socket wrapper that retries reads and writes after transient errors of the system.
 
 use std::future::Future;
 use std::io::{Error, ErrorKind, IoSlice, Result};
@@ -9,17 +9,18 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::{sleep, Sleep};
 
-/// Between two tries.
-const AGAIN: Duration = Duration::from_millis(5);
+/// Pause between two attempts.
+const RETRY_PAUSE: Duration = Duration::from_millis(5);
 
-/// Interrupted by a signal, or out of memory or buffers: the connection lives, and nothing of it was read or written.
-fn is_for_a_moment(error: &Error) -> bool {
+/// Returns true if the call was interrupted by a signal or the system is out of memory or buffers: the
+/// connection is intact, and nothing was read or written.
+fn is_transient(error: &Error) -> bool {
     const ENOMEM: i32 = 12;
     const ENOBUFS: i32 = 105;
     error.kind() == ErrorKind::Interrupted || matches!(error.raw_os_error(), Some(ENOMEM | ENOBUFS))
 }
 
-/// The socket, and the pauses that its reads and writes make after a refusal. How long to go on is the caller's, by a
+/// A socket whose reads and writes pause and retry after a transient error. The caller limits how long by a
 /// deadline.
 pub struct Retrying<S> {
     socket: S,
@@ -33,20 +34,20 @@
     }
 }
 
-/// Tries until it is done, fails for good, or has to wait.
-fn try_again<T>(
+/// Polls `attempt` until it completes, fails for good or has to wait.
+fn poll_with_retry<T>(
     pause: &mut Option<Pin<Box<Sleep>>>,
     cx: &mut Context<'_>,
     mut attempt: impl FnMut(&mut Context<'_>) -> Poll<Result<T>>,
 ) -> Poll<Result<T>> {
     loop {
-        if let Some(waiting) = pause {
-            ready!(waiting.as_mut().poll(cx));
+        if let Some(timer) = pause {
+            ready!(timer.as_mut().poll(cx));
             *pause = None;
         }
         match ready!(attempt(cx)) {
-            Err(error) if is_for_a_moment(&error) => *pause = Some(Box::pin(sleep(AGAIN))),
-            done => return Poll::Ready(done),
+            Err(error) if is_transient(&error) => *pause = Some(Box::pin(sleep(RETRY_PAUSE))),
+            result => return Poll::Ready(result),
         }
     }
 }
@@ -54,14 +55,14 @@
 impl<S: AsyncRead + Unpin> AsyncRead for Retrying<S> {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buffer: &mut ReadBuf<'_>) -> Poll<Result<()>> {
         let Retrying { socket, read_pause, .. } = self.get_mut();
-        try_again(read_pause, cx, |cx| Pin::new(&mut *socket).poll_read(cx, buffer))
+        poll_with_retry(read_pause, cx, |cx| Pin::new(&mut *socket).poll_read(cx, buffer))
     }
 }
 
 impl<S: AsyncWrite + Unpin> AsyncWrite for Retrying<S> {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<Result<usize>> {
         let Retrying { socket, write_pause, .. } = self.get_mut();
-        try_again(write_pause, cx, |cx| Pin::new(&mut *socket).poll_write(cx, bytes))
+        poll_with_retry(write_pause, cx, |cx| Pin::new(&mut *socket).poll_write(cx, bytes))
     }
 
     fn poll_write_vectored(
@@ -70,7 +71,7 @@
         slices: &[IoSlice<'_>],
     ) -> Poll<Result<usize>> {
         let Retrying { socket, write_pause, .. } = self.get_mut();
-        try_again(write_pause, cx, |cx| Pin::new(&mut *socket).poll_write_vectored(cx, slices))
+        poll_with_retry(write_pause, cx, |cx| Pin::new(&mut *socket).poll_write_vectored(cx, slices))
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -79,7 +80,7 @@
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Result<()>> {
         let Retrying { socket, write_pause, .. } = self.get_mut();
-        try_again(write_pause, cx, |cx| Pin::new(&mut *socket).poll_flush(cx))
+        poll_with_retry(write_pause, cx, |cx| Pin::new(&mut *socket).poll_flush(cx))
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Result<()>> {
--- a/crates/platform-net/src/tasks.rs
+++ b/crates/platform-net/src/tasks.rs
@@ -1,14 +1,16 @@
-//! The tasks that own the sockets. None of them ends while the core lives.
+//! The tasks that own the sockets. None of them ends while the session loop runs.
 
 use std::future::Future;
 
 use tokio::task::JoinSet;
 
-/// Guards against a steward that goes on deaf: were one of them to end by a fault, the rest would still answer PING.
+/// The running socket tasks. The process ends when one of them does: if one failed and the rest went on, the
+/// steward would still answer PING but receive nothing.
 #[derive(Default)]
 pub struct Tasks(JoinSet<&'static str>);
 
 impl Tasks {
+    /// Starts a task under a name for error messages.
     pub fn spawn(&mut self, name: &'static str, task: impl Future<Output = ()> + Send + 'static) {
         self.0.spawn(async move {
             task.await;
@@ -16,8 +18,8 @@
         });
     }
 
-    /// Waits until one has ended, and says why. Never returns where there are none.
-    pub async fn ended(&mut self) -> String {
+    /// Waits until a task has ended, and returns the reason. Never returns if there are no tasks.
+    pub async fn next_exit(&mut self) -> String {
         match self.0.join_next().await {
             Some(Ok(name)) => format!("the task of the {name} has ended"),
             Some(Err(fault)) => format!("a task has failed: {fault}"),
--- a/crates/platform-net/src/tasks/tests.rs
+++ b/crates/platform-net/src/tasks/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
 
-async fn fails(at: bool) {
-    assert!(!at, "a fault");
+async fn fails(should_fail: bool) {
+    assert!(!should_fail, "an injected fault");
 }
 
 #[tokio::test]
-async fn a_task_that_ends_in_whatever_way_is_told_and_the_others_are_not_waited_for() {
-    for (fault, told) in [(true, "panicked"), (false, "the task of the list has ended")] {
+async fn next_exit_reports_a_panic_or_a_return_without_waiting_for_other_tasks() {
+    for (should_fail, expected) in [(true, "panicked"), (false, "the task of the list has ended")] {
         let mut tasks = Tasks::default();
         tasks.spawn("listener", std::future::pending());
-        tasks.spawn("list", fails(fault));
-        let why = tasks.ended().await;
-        assert!(why.contains(told), "{why}");
+        tasks.spawn("list", fails(should_fail));
+        let reason = tasks.next_exit().await;
+        assert!(reason.contains(expected), "{reason}");
     }
 }
--- a/crates/ravenspar/tests/platform/configuration.rs
+++ b/crates/ravenspar/tests/platform/configuration.rs
@@ -20,7 +20,7 @@
     until(&relay, |said| said.subscriptions == 1).await;
     std::fs::write(&steward.config, "{\"discovery\":").expect("written");
     steward.signal("-HUP").await;
-    assert!(steward.logged("the one before holds").await.contains("expected"));
+    assert!(steward.logged("the previous one stays in use").await.contains("expected"));
     // In the midst of a move whose calls are lost.
     relay.befall(&[Fault::Lost, Fault::Unanswered, Fault::Lost]);
     discovery.set("A", "leaving");
@@ -136,7 +136,7 @@
     let text = config.to_string();
     std::fs::write(&steward.config, &text[..text.len() / 2]).expect("written");
     steward.signal("-HUP").await;
-    steward.logged("the one before holds").await;
+    steward.logged("the previous one stays in use").await;
     // The old addresses close for good, and no other signal comes.
     drop((relay, discovery));
     std::fs::write(&steward.config, &text).expect("written");
