--- a/crates/ravenspar/tests/common/mod.rs
+++ b/crates/ravenspar/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! The program as a process, and proxies that speak the plain stream over blocking sockets.
+//! Test harness: the program as a process, and proxies that speak the plain stream over blocking sockets.
 #![allow(dead_code)] // each test file uses a part of it
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -10,17 +10,18 @@
 use ravenspar_protocol::{kind, tag, Body, Frame, VERSION};
 use ravenspar_standin::store::Store;
 
-/// Long enough for a busy machine; a test that waits this long has failed.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Enough for a busy machine; a wait that takes this long has failed.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
+/// A temporary folder with a steward's settings, its list of servers and its record.
 pub struct Dir {
     pub dir: tempfile::TempDir,
 }
 
 impl Dir {
-    /// A folder with settings for these slices and forwarders, and a list of these servers.
+    /// Creates settings for this many slices and forwarders, and a list of these servers.
     pub fn new(slices: usize, forwarders: usize, servers: &[&str]) -> Dir {
-        let dir = Dir { dir: tempfile::tempdir().expect("a folder") };
+        let dir = Dir { dir: tempfile::tempdir().expect("a temporary folder") };
         let text = format!(
             "listen: 127.0.0.1:0\nrecord: steward.redb\nlist: {{path: servers.yaml}}\nforwarders: {forwarders}\n\
              slices: {slices}\nlease: 400ms\nsettle: 400ms\nhold: 200ms\nunserved_most: 5s\nsilent_after: 700ms\n\
@@ -30,7 +31,7 @@
              - {{name: quote, response_target: 300ms, client_timeout: 400ms, credit: 1, repeats: replayable, writes: false}}\n  \
              - {{name: commit, response_target: 300ms, client_timeout: 400ms, credit: 2, repeats: non-replayable, writes: true}}\n"
         );
-        std::fs::write(dir.settings(), text).expect("written");
+        std::fs::write(dir.settings(), text).expect("the file is written");
         dir.list(servers);
         dir
     }
@@ -48,11 +49,11 @@
         let entry = |id: &&str| format!("  - {{id: {id}, zone: z, address: \"127.0.0.1:9\"}}\n");
         let text: String = servers.iter().map(entry).collect();
         let draft = self.dir.path().join("draft");
-        std::fs::write(&draft, format!("servers:\n{text}")).expect("written");
-        std::fs::rename(draft, self.dir.path().join("servers.yaml")).expect("moved");
+        std::fs::write(&draft, format!("servers:\n{text}")).expect("the file is written");
+        std::fs::rename(draft, self.dir.path().join("servers.yaml")).expect("the list is renamed");
     }
 
-    /// What the record says: slice, owner, state.
+    /// Returns the recorded slices: number, owner and state.
     pub fn recorded(&self) -> Vec<(u64, Option<String>, String)> {
         let output = run(&["record", "--json", self.settings().to_str().expect("a path")]);
         assert_eq!(output.status.code(), Some(0), "{}", String::from_utf8_lossy(&output.stderr));
@@ -69,22 +70,23 @@
         .collect()
     }
 
+    /// Starts a steward with this folder's settings.
     pub fn serve(&self, args: &[&str]) -> Serving {
         start(&self.settings(), args)
     }
 }
 
-/// Starts a steward by these settings and waits until it listens.
+/// Starts a steward with these settings and waits until it listens.
 pub fn start(settings: &Path, args: &[&str]) -> Serving {
     start_in(settings, args, &[])
 }
 
-/// The same with more in its environment.
+/// Does the same with additional environment variables.
 pub fn start_in(settings: &Path, args: &[&str], environment: &[(&str, &Path)]) -> Serving {
-    try_start(settings, args, environment, Stdio::inherit()).expect("it listens")
+    try_start(settings, args, environment, Stdio::inherit()).expect("the steward listens")
 }
 
-/// The same with its log somewhere else; none if it ended before it listened.
+/// Does the same with the log redirected. Returns `None` if it ended before it listened.
 pub fn try_start(
     settings: &Path,
     args: &[&str],
@@ -93,11 +95,11 @@
 ) -> Option<Serving> {
     let mut command = Command::new(env!("CARGO_BIN_EXE_ravenspar"));
     command.args(["--log", "warn", "serve"]).arg(settings).args(args).envs(environment.iter().copied());
-    let mut child = command.stdout(Stdio::piped()).stderr(log).spawn().expect("it starts");
+    let mut child = command.stdout(Stdio::piped()).stderr(log).spawn().expect("the process starts");
     let mut line = String::new();
     BufReader::new(child.stdout.take().expect("output")).read_line(&mut line).expect("a line");
     let Some(address) = line.trim().strip_prefix("listening on ") else {
-        child.wait().expect("it has ended");
+        child.wait().expect("the process has exited");
         return None;
     };
     Some(Serving { address: address.parse().expect("an address"), child })
@@ -105,9 +107,10 @@
 
 /// Runs the program to its end.
 pub fn run(args: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_ravenspar")).args(args).output().expect("it runs")
+    Command::new(env!("CARGO_BIN_EXE_ravenspar")).args(args).output().expect("the program runs")
 }
 
+/// A steward process, killed on drop.
 pub struct Serving {
     pub address: SocketAddr,
     pub child: Child,
@@ -121,34 +124,36 @@
 }
 
 impl Serving {
-    /// Waits until it has ended by itself.
-    pub fn ended(&mut self) -> std::process::ExitStatus {
-        let until = Instant::now() + PATIENCE;
+    /// Waits until it has exited by itself.
+    pub fn wait_exit(&mut self) -> std::process::ExitStatus {
+        let until = Instant::now() + TEST_TIMEOUT;
         while Instant::now() < until {
             if let Some(status) = self.child.try_wait().expect("a status") {
                 return status;
             }
             std::thread::sleep(Duration::from_millis(5));
         }
-        panic!("it did not end");
+        panic!("the process did not exit in time");
     }
 
     pub fn signal(&self, name: &str) {
         let status = Command::new("kill").args([&format!("-{name}"), &self.child.id().to_string()]).status();
-        assert!(status.expect("kill runs").success());
+        assert!(status.expect("`kill` runs").success());
     }
 }
 
-/// A proxy that follows the protocol as far as a test wants it to.
+/// A proxy that follows the protocol as far as tests need it.
 pub struct Proxy {
     pub socket: TcpStream,
-    began: Instant,
-    /// The owner of each slice it was told of.
+    started: Instant,
+    /// The server that each slice is granted to, as far as it was notified.
     pub owners: std::collections::BTreeMap<u64, u64>,
-    /// The owner that each slice was last dropped from, until it is told of again.
+    /// The server that each slice was last dropped from, until it is granted again.
     pub dropped: std::collections::BTreeMap<u64, u64>,
+    /// The names of the servers by their numbers.
     pub names: std::collections::BTreeMap<u64, String>,
     pub term: u64,
+    /// Echoes received: answers to pings.
     pub echoes: usize,
     /// Messages with lines.
     pub tables: usize,
@@ -156,11 +161,12 @@
 }
 
 impl Proxy {
+    /// Connects as proxy `number` in its start `boot`, and sends the hello.
     pub fn dial(address: SocketAddr, number: u64, boot: u64) -> Proxy {
-        let socket = TcpStream::connect(address).expect("it listens");
+        let socket = TcpStream::connect(address).expect("the steward listens");
         let mut proxy = Proxy {
             socket,
-            began: Instant::now(),
+            started: Instant::now(),
             owners: Default::default(),
             dropped: Default::default(),
             names: Default::default(),
@@ -175,18 +181,18 @@
         proxy
     }
 
-    /// A stream that has ended takes nothing more; that shows when it is read.
+    /// Sends a message. A stream that has ended shows when it is read.
     pub fn send(&mut self, body: &[u8]) {
         let length = (body.len() as u32).to_be_bytes();
         let _ = self.socket.write_all(&length).and_then(|()| self.socket.write_all(body));
     }
 
     pub fn ping(&mut self) {
-        let sent = self.began.elapsed().as_micros() as u64 / 100;
+        let sent = self.started.elapsed().as_micros() as u64 / 100;
         self.send(&Frame::new(kind::PING).numbers(tag::SENT, &[sent]).finish());
     }
 
-    /// Takes in what comes within a tenth of a second, answers it, and pings.
+    /// Pings, and handles and answers what arrives within 100 ms.
     pub fn step(&mut self) {
         self.ping();
         self.socket.set_read_timeout(Some(Duration::from_millis(100))).expect("a timeout");
@@ -209,7 +215,7 @@
                     return;
                 }
             }
-            self.socket.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+            self.socket.set_read_timeout(Some(TEST_TIMEOUT)).expect("a timeout");
             let mut body = Vec::new();
             let read = self.socket.read_exact(&mut head[1..]).and_then(|()| {
                 body = vec![0; u32::from_be_bytes(head) as usize];
@@ -219,17 +225,17 @@
                 self.closed = true;
                 return;
             }
-            self.take(&body);
+            self.handle(&body);
             self.socket.set_read_timeout(Some(Duration::from_millis(20))).expect("a timeout");
         }
     }
 
-    fn take(&mut self, body: &[u8]) {
+    fn handle(&mut self, body: &[u8]) {
         let mut body = Body::new(body).expect("a frame");
-        let what = body.kind();
-        let (mut answer, mut asked) = (Frame::new(kind::ANSWER), false);
-        self.echoes += usize::from(what == kind::ECHO);
-        self.tables += usize::from(what == kind::TABLE);
+        let message_kind = body.kind();
+        let (mut answer, mut must_answer) = (Frame::new(kind::ANSWER), false);
+        self.echoes += usize::from(message_kind == kind::ECHO);
+        self.tables += usize::from(message_kind == kind::TABLE);
         while let Some((tag, mut field)) = body.field().expect("a field") {
             match tag {
                 tag::TERM => self.term = field.number().expect("a term"),
@@ -249,40 +255,41 @@
                 }
                 tag::MARK | tag::END => {
                     answer.numbers(tag, &[field.number().expect("a number")]);
-                    asked = true;
+                    must_answer = true;
                 }
                 _ => {}
             }
         }
-        if asked {
+        if must_answer {
             let body = answer.finish();
             self.send(&body);
         }
     }
 
+    /// Returns the name of the server that a slice is granted to.
     pub fn owner(&self, slice: u64) -> Option<&str> {
         self.names.get(self.owners.get(&slice)?).map(String::as_str)
     }
 }
 
-/// Lets proxies go on until something holds of them.
-pub fn until(what: &str, proxies: &mut [&mut Proxy], mut holds: impl FnMut(&[&mut Proxy]) -> bool) {
-    let end = Instant::now() + PATIENCE;
-    while !holds(proxies) {
-        assert!(Instant::now() < end, "not within {PATIENCE:?}: {what}");
+/// Lets proxies go on until a condition holds.
+pub fn wait_until(what: &str, proxies: &mut [&mut Proxy], mut condition: impl FnMut(&[&mut Proxy]) -> bool) {
+    let end = Instant::now() + TEST_TIMEOUT;
+    while !condition(proxies) {
+        assert!(Instant::now() < end, "not within {TEST_TIMEOUT:?}: {what}");
         proxies.iter_mut().for_each(|proxy| proxy.step());
     }
 }
 
-/// Starts two stewards that share six slices by these settings, each with a proxy: the first owns all of them, then the
-/// second has its three.
+/// Starts two stewards that share six slices, each with a proxy: the first is assigned all of them, and then
+/// hands three over to the second.
 pub fn start_sharing(one: &Path, two: &Path) -> ((Serving, Proxy), (Serving, Proxy)) {
     let first = start(one, &[]);
     let mut proxy = Proxy::dial(first.address, 0, 1);
-    until("one is in charge of all", &mut [&mut proxy], |all| all[0].owners.len() == 6);
+    wait_until("one is assigned all slices", &mut [&mut proxy], |all| all[0].owners.len() == 6);
     let second = start(two, &[]);
     let mut other = Proxy::dial(second.address, 0, 1);
-    until("two has its share", &mut [&mut proxy, &mut other], |all| all[1].owners.len() == 3);
+    wait_until("two has its share", &mut [&mut proxy, &mut other], |all| all[1].owners.len() == 3);
     ((first, proxy), (second, other))
 }
 
@@ -294,15 +301,15 @@
     path.to_str().expect("a path")
 }
 
-/// A store that serves until the process ends.
+/// Starts a store that serves until the process ends.
 pub fn store(cluster: u64) -> (Store, SocketAddr) {
     let store = Store::new(cluster);
-    let (told, address) = std::sync::mpsc::channel();
+    let (address_tx, address) = std::sync::mpsc::channel();
     let own = store.clone();
     std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         runtime.block_on(async {
-            told.send(own.listen().await.expect("it listens")).expect("somebody waits");
+            address_tx.send(own.listen().await.expect("the steward listens")).expect("the caller waits");
             std::future::pending::<()>().await;
         });
     });
--- a/crates/ravenspar/tests/faults/schedule.rs
+++ b/crates/ravenspar/tests/faults/schedule.rs
@@ -1,4 +1,4 @@
-//! The library of system-call faults that tests preload, and rules for it by chance.
+//! The preloaded library of system-call faults, and random rules for it.
 
 use std::ops::Range;
 use std::path::PathBuf;
@@ -6,16 +6,17 @@
 
 use fastrand::Rng;
 
-/// The library to preload, which is built with the tests.
+/// Returns the path of the library to preload, which is built with the tests.
 pub fn library() -> PathBuf {
-    let own = std::env::current_exe().expect("a test has a path");
-    let beside = own.parent().expect("a folder").join("libravenspar_faults.so");
-    assert!(beside.exists(), "{}", beside.display());
-    beside
+    let test_binary = std::env::current_exe().expect("the path of the test binary");
+    let library = test_binary.parent().expect("a folder").join("libravenspar_faults.so");
+    assert!(library.exists(), "{}", library.display());
+    library
 }
 
-/// Rules for the library that is preloaded: calls that fail now and then within a time; `fault` is how long each rule holds, in milliseconds.
-pub fn schedule(chance: &mut Rng, length: Duration, fault: Range<u64>) -> String {
+/// Draws rules for the library: calls that fail now and then within `length`. `rule_ms` is the range of how
+/// long each rule applies, in milliseconds.
+pub fn schedule(rng: &mut Rng, length: Duration, rule_ms: Range<u64>) -> String {
     const CALLS: [(&str, &[&str]); 6] = [
         ("accept4", &["24", "103", "105"]),
         ("socket", &["24", "105"]),
@@ -26,11 +27,11 @@
     ];
     let end = length.as_millis() as u64;
     let mut rules = String::new();
-    for _ in 0..chance.usize(0..4) {
-        let (call, faults) = CALLS[chance.usize(0..CALLS.len())];
-        let (from, every) = (chance.u64(200..end), chance.u64(1..40));
-        let to = end.min(from + chance.u64(fault.clone()));
-        rules += &format!("{call} {} {from} {to} {every}\n", faults[chance.usize(0..faults.len())]);
+    for _ in 0..rng.usize(0..4) {
+        let (call, faults) = CALLS[rng.usize(0..CALLS.len())];
+        let (from, every) = (rng.u64(200..end), rng.u64(1..40));
+        let to = end.min(from + rng.u64(rule_ms.clone()));
+        rules += &format!("{call} {} {from} {to} {every}\n", faults[rng.usize(0..faults.len())]);
     }
-    rules + &format!("realtime {} {}\n", chance.i64(-3_600..3_600), chance.u64(0..end))
+    rules + &format!("realtime {} {}\n", rng.i64(-3_600..3_600), rng.u64(0..end))
 }
--- a/crates/ravenspar/tests/fleet.rs
+++ b/crates/ravenspar/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The view of the fleet, kept by processes of the program among themselves, with no store.
+//! Tests of the view of the fleet as kept by processes of the program, with no store.
 
 mod common;
 
@@ -7,8 +7,9 @@
 use std::os::unix::fs::PermissionsExt as _;
 use std::time::{Duration, Instant};
 
-use common::{run, Dir, Serving, PATIENCE};
+use common::{run, Dir, Serving, TEST_TIMEOUT};
 
+/// A steward with its settings, and its process while it runs.
 struct Steward {
     dir: Dir,
     name: String,
@@ -16,15 +17,19 @@
     serving: Option<Serving>,
 }
 
-/// A port that the system has just found free; the steward binds it at once.
-fn free() -> SocketAddr {
+/// Returns a port that was free a moment ago; the steward binds it at once.
+fn free_address() -> SocketAddr {
     std::net::UdpSocket::bind("127.0.0.1:0").and_then(|socket| socket.local_addr()).expect("a port")
 }
 
 impl Steward {
     fn new(n: usize, peers: &[SocketAddr]) -> Steward {
-        let steward =
-            Steward { dir: Dir::new(2, 1, &["A"]), name: format!("s{n}"), address: free(), serving: None };
+        let steward = Steward {
+            dir: Dir::new(2, 1, &["A"]),
+            name: format!("s{n}"),
+            address: free_address(),
+            serving: None,
+        };
         let key = steward.dir.dir.path().join("fleet.key");
         std::fs::write(&key, "a key for the fleet of a test, long enough").expect("written");
         std::fs::set_permissions(&key, std::fs::Permissions::from_mode(0o600)).expect("set");
@@ -53,7 +58,7 @@
         serde_json::from_slice(&output.stdout).ok()
     }
 
-    /// Names that its view shows, with their lives.
+    /// Returns the names of the members that its view shows, with their incarnations.
     fn names(&self) -> BTreeMap<String, u64> {
         let view = self.view().unwrap_or_default();
         let members = view["members"].as_array().cloned().unwrap_or_default();
@@ -68,10 +73,11 @@
     }
 }
 
+/// Prepares stewards of which the first is the seed of the others.
 fn fleet(count: usize) -> Vec<Steward> {
     let mut stewards: Vec<Steward> = Vec::new();
-    // The first address is nobody's.
-    let mut peers = vec![free()];
+    // Nothing listens at the first address.
+    let mut peers = vec![free_address()];
     for n in 0..count {
         stewards.push(Steward::new(n, &peers));
         if n == 0 {
@@ -81,18 +87,19 @@
     stewards
 }
 
-/// Waits until all that run show just each other, in one view, and say that they settled.
-fn settled(stewards: &[Steward]) {
+/// Waits until the views of all running stewards show exactly the running ones, are the same, and are
+/// settled.
+fn wait_settled(stewards: &[Steward]) {
     let running: Vec<&Steward> = stewards.iter().filter(|steward| steward.serving.is_some()).collect();
     let names: Vec<String> = running.iter().map(|steward| steward.name.clone()).collect();
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     loop {
         let views: Vec<_> = running.iter().filter_map(|steward| steward.view()).collect();
         let shown: Vec<_> = running.iter().map(|steward| steward.names()).collect();
         let same = shown.iter().all(|names| *names == shown[0]);
-        let settled = views.len() == running.len()
+        let wait_settled = views.len() == running.len()
             && views.iter().all(|view| view["settled"] == true && view["digest"] == views[0]["digest"]);
-        if same && settled && shown[0].keys().cloned().collect::<Vec<_>>() == names {
+        if same && wait_settled && shown[0].keys().cloned().collect::<Vec<_>>() == names {
             return;
         }
         assert!(Instant::now() < until, "{names:?}: {shown:?}, {views:?}");
@@ -101,53 +108,56 @@
 }
 
 #[test]
-fn stewards_find_each_other_see_crashes_leaving_and_standstills_and_settle_again() {
+fn stewards_find_each_other_and_settle_again_after_crashes_leaves_and_stops() {
     let mut stewards = fleet(5);
     stewards.iter_mut().for_each(Steward::start);
-    settled(&stewards);
-    let life = stewards[0].names();
+    wait_settled(&stewards);
+    let before = stewards[0].names();
     // A crash.
     stewards[3].kill();
-    settled(&stewards);
-    // A restart under the same name and address is a later life.
+    wait_settled(&stewards);
+    // A restart under the same name and address is a later incarnation.
     stewards[3].start();
-    settled(&stewards);
+    wait_settled(&stewards);
     let after = stewards[0].names();
-    assert!(after["s3"] > life["s3"], "{life:?} {after:?}");
-    assert_eq!(after["s1"], life["s1"]);
-    // One that leaves in order is shown as left, and nobody suspected it.
-    let serving = stewards[4].serving.as_mut().expect("it runs");
+    assert!(after["s3"] > before["s3"], "{before:?} {after:?}");
+    assert_eq!(after["s1"], before["s1"]);
+    // A steward that leaves in order is shown as left and never suspected.
+    let serving = stewards[4].serving.as_mut().expect("the process is running");
     serving.signal("TERM");
-    assert!(serving.ended().success());
+    assert!(serving.wait_exit().success());
     stewards[4].kill();
-    settled(&stewards);
+    wait_settled(&stewards);
     let view = stewards[0].view().expect("a view");
     let left = view["members"].as_array().expect("members").iter().find(|member| member["name"] == "s4");
-    assert_eq!(left.expect("it is remembered")["state"], "left");
-    // One that stands still is dropped, and comes back as another life without having dropped anybody.
-    stewards[1].serving.as_ref().expect("it runs").signal("STOP");
-    let until = Instant::now() + PATIENCE;
+    assert_eq!(left.expect("the member is remembered")["state"], "left");
+    // A stopped steward is dropped, and returns as another incarnation without having dropped any member.
+    stewards[1].serving.as_ref().expect("the process is running").signal("STOP");
+    let until = Instant::now() + TEST_TIMEOUT;
     while stewards[0].names().contains_key("s1") {
         assert!(Instant::now() < until, "{:?}", stewards[0].view());
     }
-    let others = stewards[0].names();
-    stewards[1].serving.as_ref().expect("it runs").signal("CONT");
-    settled(&stewards);
+    let members_before = stewards[0].names();
+    stewards[1].serving.as_ref().expect("the process is running").signal("CONT");
+    wait_settled(&stewards);
     let after = stewards[2].names();
-    assert!(after["s1"] > life["s1"]);
-    assert_eq!((after["s0"], after["s2"], after["s3"]), (others["s0"], others["s2"], others["s3"]));
-    // The seed crashes, and the others with it: all start over at once.
+    assert!(after["s1"] > before["s1"]);
+    assert_eq!(
+        (after["s0"], after["s2"], after["s3"]),
+        (members_before["s0"], members_before["s2"], members_before["s3"])
+    );
+    // The seed crashes, and the other stewards with it: all restart at once.
     stewards.iter_mut().for_each(Steward::kill);
     stewards.iter_mut().for_each(Steward::start);
-    settled(&stewards);
+    wait_settled(&stewards);
 }
 
 #[test]
-fn bad_settings_of_the_fleet_are_an_exit_code_of_two_with_their_place() {
+fn invalid_fleet_settings_exit_with_code_two_and_name_their_place() {
     let dir = Dir::new(2, 1, &["A"]);
     let base = std::fs::read_to_string(dir.settings()).expect("settings");
     let line = base.lines().count() + 1;
-    for (fleet, said) in [
+    for (fleet, expected) in [
         ("fleet: {name: a, listen: here, key: k}", format!(":{line}:26: fleet.listen: here: expected an address")),
         ("fleet: {name: a, listen: \"127.0.0.1:7946\"}", format!(":{line}:1: fleet.key: missing")),
         ("fleet: {listen: \"127.0.0.1:7946\", key: k}", format!(":{line}:1: fleet.name: missing")),
@@ -164,13 +174,16 @@
     ] {
         std::fs::write(dir.settings(), format!("{base}{fleet}\n")).expect("written");
         let output = run(&["check", dir.settings().to_str().expect("a path")]);
-        let told = String::from_utf8_lossy(&output.stderr);
-        assert_eq!(output.status.code(), Some(2), "{told}");
-        assert!(told.contains(&said), "{told} without {said}");
+        let stderr = String::from_utf8_lossy(&output.stderr);
+        assert_eq!(output.status.code(), Some(2), "{stderr}");
+        assert!(stderr.contains(&expected), "{stderr} without {expected}");
     }
-    // A key that is not there is found at the start.
-    std::fs::write(dir.settings(), format!("{base}fleet: {{name: a, listen: \"{}\", key: k}}\n", free()))
-        .expect("written");
+    // A missing key file is reported at the start.
+    std::fs::write(
+        dir.settings(),
+        format!("{base}fleet: {{name: a, listen: \"{}\", key: k}}\n", free_address()),
+    )
+    .expect("written");
     let output = run(&["serve", dir.settings().to_str().expect("a path")]);
     assert_eq!(output.status.code(), Some(2), "{}", String::from_utf8_lossy(&output.stderr));
 }
--- a/crates/ravenspar/tests/leaving.rs
+++ b/crates/ravenspar/tests/leaving.rs
@@ -1,4 +1,5 @@
-//! Stewards that leave the shared store and the view of the fleet, as processes; the store's stand-in runs beside the tests.
+//! Tests of stewards that leave the shared store and the view of the fleet, as processes against a stand-in
+//! of the store.
 
 mod common;
 
@@ -12,12 +13,12 @@
 
 const LEASE_S: u64 = 2;
 
-/// A port that the system has just found free; the steward binds it at once.
-fn free() -> SocketAddr {
+/// Returns a port that was free a moment ago; the steward binds it at once.
+fn free_address() -> SocketAddr {
     std::net::UdpSocket::bind("127.0.0.1:0").and_then(|socket| socket.local_addr()).expect("a port")
 }
 
-/// Settings of one of two stewards that share a store and, where `view` is said, keep a view of each other.
+/// Writes the settings of one of two stewards that share a store and, with `view`, keep a view of each other.
 fn settings(dir: &Dir, name: &str, store: SocketAddr, view: Option<(SocketAddr, SocketAddr)>) -> PathBuf {
     let text = std::fs::read_to_string(dir.settings()).expect("settings");
     let text = text.replace("record: steward.redb", &format!("record: {name}.redb"));
@@ -37,77 +38,81 @@
     path
 }
 
-/// How many members the store has.
+/// Returns the number of members in the store.
 fn members(store: &Store) -> usize {
-    let mut there = std::collections::BTreeSet::new();
+    let mut present = std::collections::BTreeSet::new();
     for change in store.changes().into_iter().filter(|change| change.key.starts_with("/ravenspar/member/")) {
         match change.value {
-            Some(_) => there.insert(change.key),
-            None => there.remove(&change.key),
+            Some(_) => present.insert(change.key),
+            None => present.remove(&change.key),
         };
     }
-    there.len()
+    present.len()
 }
 
-/// Waits until the store has so many members.
+/// Waits until the store has this number of members.
 fn wait_for_members(store: &Store, count: usize) {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     while members(store) != count {
-        assert!(Instant::now() < until, "not {count} members within {PATIENCE:?}");
+        assert!(Instant::now() < until, "not {count} members within {TEST_TIMEOUT:?}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// Whether a steward's view shows that name as in the fleet.
-fn shows(file: &Path, name: &str) -> bool {
+/// Returns true if a steward's view shows that name as in the fleet.
+fn is_in_view(file: &Path, name: &str) -> bool {
     let output = run(&["members", "--json", path(file)]);
-    let said: serde_json::Value = serde_json::from_slice(&output.stdout).expect("a view");
-    let members = said["members"].as_array().expect("members");
+    let view: serde_json::Value = serde_json::from_slice(&output.stdout).expect("a view");
+    let members = view["members"].as_array().expect("members");
     members
         .iter()
         .any(|member| member["name"] == name && (member["state"] == "in" || member["state"] == "suspect"))
 }
 
-/// What a steward that runs asks the store for in this time: four looks a second, and a renewal each fifth of its lease.
-fn usual(span: Duration) -> u64 {
+/// Returns the requests that a running steward makes of the store in this time: four looks a second, and a
+/// renewal each fifth of its lease.
+fn expected_requests(span: Duration) -> u64 {
     (span.as_secs_f64() * (4.0 + 5.0 / LEASE_S as f64)).ceil() as u64
 }
 
-/// One that left in order and then stands still before it has told the view: the store has nothing of it any more that
-/// anybody could wait for.
+/// A steward leaves in order and is stopped before the view knows: the store has nothing of it any more that
+/// the other stewards could wait for, so they don't.
 #[test]
-fn a_steward_that_the_store_has_let_go_is_not_waited_for_there() {
+fn a_steward_that_left_the_store_is_not_waited_for() {
     let dir = Dir::new(6, 2, &["a", "b"]);
     let (store, at) = store(1);
-    let ports = [free(), free(), free()];
+    let ports = [free_address(), free_address(), free_address()];
     let names = ["one", "two", "three"];
     let files: Vec<PathBuf> =
         (0..3).map(|n| settings(&dir, names[n], at, Some((ports[n], ports[(n + 1) % 3])))).collect();
     let stewards: Vec<Serving> = files.iter().map(|file| start(file, &[])).collect();
     wait_for_members(&store, 3);
-    let began = Instant::now();
-    while !files.iter().all(|file| names.iter().all(|name| shows(file, name))) {
-        assert!(began.elapsed() < PATIENCE, "they don't find each other");
+    let started = Instant::now();
+    while !files.iter().all(|file| names.iter().all(|name| is_in_view(file, name))) {
+        assert!(started.elapsed() < TEST_TIMEOUT, "the stewards don't find each other");
     }
     stewards[0].signal("TERM");
     wait_for_members(&store, 2);
     stewards[0].signal("STOP");
-    let (before, began) = (store.requests(), Instant::now());
-    while shows(&files[1], "one") || shows(&files[2], "one") {
-        assert!(began.elapsed() < PATIENCE, "the view does not drop it");
+    let (before, started) = (store.requests(), Instant::now());
+    while is_in_view(&files[1], "one") || is_in_view(&files[2], "one") {
+        assert!(started.elapsed() < TEST_TIMEOUT, "the view does not drop the member");
     }
     std::thread::sleep(Duration::from_secs(LEASE_S + 1));
-    let (asked, took) = (store.requests() - before, began.elapsed());
+    let (requests, took) = (store.requests() - before, started.elapsed());
     stewards[0].signal("CONT");
-    println!("{asked} requests in {took:?}");
-    let most = 2 * 2 * usual(took);
-    assert!(asked <= most, "{asked} requests of two stewards in {took:?}, {most} may be");
+    println!("{requests} requests in {took:?}");
+    let max_requests = 2 * 2 * expected_requests(took);
+    assert!(
+        requests <= max_requests,
+        "{requests} requests of two stewards in {took:?}, {max_requests} are allowed"
+    );
 }
 
-/// Whatever the store does, and whether its heir stands still or not, one that leaves ends in order within the time that is
-/// stated for it (`docs/design/sharing.md`), and asks no more often than its waits allow.
+/// Whatever the store does, and whether the steward's heir is stopped or not, a leaving steward exits in
+/// order within the stated time (`docs/design/sharing.md`), and sends no more requests than its pauses allow.
 #[test]
-fn a_steward_that_leaves_ends_within_its_bound_whatever_the_store_does() {
+fn a_leaving_steward_exits_within_its_bound_whatever_the_store_does() {
     let slow = |millis| Faults { slow: Duration::from_millis(millis), ..Faults::default() };
     let faults = [
         slow(300),
@@ -117,18 +122,20 @@
         Faults { away: true, ..Faults::default() },
     ];
     let cases = faults.into_iter().flat_map(|faults| [(faults.clone(), false), (faults, true)]);
-    let played: Vec<_> =
-        cases.map(|(faults, heir_stops)| std::thread::spawn(move || leaves(faults, heir_stops))).collect();
-    for case in played {
-        case.join().expect("it ends in order");
+    let cases_running: Vec<_> = cases
+        .map(|(faults, heir_stops)| std::thread::spawn(move || leave_under_faults(faults, heir_stops)))
+        .collect();
+    for case in cases_running {
+        case.join().expect("the case passes");
     }
 }
 
-fn leaves(faults: Faults, heir_stops: bool) {
-    /// Of slices and membership, and of the last call.
+fn leave_under_faults(faults: Faults, heir_stops: bool) {
+    /// The bounds of handing over slices and membership, and of the last call.
     const BOUND: Duration = Duration::from_secs(10 + 1);
-    /// A transaction whose answer is lost and what asks for its outcome, for a word to the store, lines and a gift.
-    const ASKED_FOR_OUTCOMES: u64 = 3 * 13;
+    /// Requests for the outcomes of transactions whose answers were lost: of a store message, of lines and of
+    /// a hand-over.
+    const OUTCOME_REQUESTS: u64 = 3 * 13;
     let dir = Dir::new(6, 2, &["a", "b"]);
     let (store, at) = store(1);
     let (one, two) = (settings(&dir, "one", at, None), settings(&dir, "two", at, None));
@@ -137,17 +144,20 @@
     if heir_stops {
         second.signal("STOP");
     }
-    let (before, began) = (store.requests(), Instant::now());
+    let (before, started) = (store.requests(), Instant::now());
     first.signal("TERM");
-    let code = first.ended().code();
-    let (asked, took) = (store.requests() - before, began.elapsed());
+    let code = first.wait_exit().code();
+    let (requests, took) = (store.requests() - before, started.elapsed());
     if heir_stops {
         second.signal("CONT");
     }
-    println!("{faults:?}, heir stops: {heir_stops}: {code:?} after {took:?}, {asked} requests");
+    println!("{faults:?}, heir stops: {heir_stops}: {code:?} after {took:?}, {requests} requests");
     assert_eq!(code, Some(0), "{faults:?}");
     assert!(took < BOUND, "{faults:?}: {took:?}");
     // Two stewards, each call tried twice.
-    let most = 2 * 2 * usual(took) + ASKED_FOR_OUTCOMES;
-    assert!(asked <= most, "{faults:?}: {asked} requests in {took:?}, {most} may be");
+    let max_requests = 2 * 2 * expected_requests(took) + OUTCOME_REQUESTS;
+    assert!(
+        requests <= max_requests,
+        "{faults:?}: {requests} requests in {took:?}, {max_requests} are allowed"
+    );
 }
--- a/crates/ravenspar/tests/platform/answers.rs
+++ b/crates/ravenspar/tests/platform/answers.rs
@@ -1,41 +1,42 @@
-//! Answers of the relay that break off, come late or come twice.
+//! Answers of the relay that are cut off, late or doubled.
 
 use ravenspar_standin::platform::Fault;
 
 use crate::harness::*;
 
 #[tokio::test]
-async fn a_call_is_settled_however_its_answer_breaks_off() {
-    let (relay, discovery, _, _steward) = at_work().await;
+async fn a_call_completes_whatever_cuts_its_answer_off() {
+    let (relay, discovery, _, _steward) = start_serving().await;
     use Fault::{AndEnd, Broken, Dripped, Reset, Torn, Twice};
     for fault in [Torn, Reset, Dripped, AndEnd, Broken, Twice] {
         relay.befall(&[fault]);
-        moves(&relay, &discovery, "A", "B").await;
+        move_all_slices(&relay, &discovery, "A", "B").await;
         relay.befall(&[fault, fault]);
-        moves(&relay, &discovery, "B", "A").await;
+        move_all_slices(&relay, &discovery, "B", "A").await;
     }
 }
 
 #[tokio::test]
-async fn a_second_answer_is_not_taken_for_that_to_the_next_call() {
-    let (relay, discovery, _, _steward) = at_work().await;
+async fn a_duplicate_answer_is_not_taken_for_the_next_call() {
+    let (relay, discovery, _, _steward) = start_serving().await;
     relay.befall(&[Fault::Twice, Fault::Twice, Fault::Twice]);
-    moves(&relay, &discovery, "A", "B").await;
-    // What is sent again bears a mark of its own, so the revokes tell.
-    let orders = relay.with(|said| said.orders.clone());
+    move_all_slices(&relay, &discovery, "A", "B").await;
+    // A call that is sent again has a mark of its own, so the revokes show it.
+    let orders = relay.with(|state| state.orders.clone());
     let revokes = orders.iter().filter(|order| order["verb"] == "clear").count();
-    assert_eq!(revokes, 2, "no call was sent again: {orders:?}");
+    assert_eq!(revokes, 2, "a call was sent again: {orders:?}");
 }
 
 #[tokio::test]
-async fn an_answer_after_the_time_out_changes_nothing() {
-    let (relay, discovery, _, _steward) = at_work().await;
+async fn an_answer_after_the_timeout_changes_nothing() {
+    let (relay, discovery, _, _steward) = start_serving().await;
     relay.befall(&[Fault::Held, Fault::Held]);
     discovery.set("A", "leaving");
-    // Sent again: the first was left, and its answer comes while the second waits for its own.
-    until(&relay, |said| said.calls == 2).await;
+    // The second call is a retry: the first timed out, and its answer arrives while the second waits for its
+    // own.
+    wait_until(&relay, |state| state.calls == 2).await;
     relay.release();
     relay.release();
-    until(&relay, |said| all_at(said, "B")).await;
-    relay.with(|said| kept_the_way(said));
+    wait_until(&relay, |state| all_slices_at(state, "B")).await;
+    relay.with(|state| assert_moves_revoke_first(state));
 }
--- a/crates/ravenspar/tests/platform/end.rs
+++ b/crates/ravenspar/tests/platform/end.rs
@@ -1,4 +1,4 @@
-//! What is owed at the end of the process.
+//! Shutdown: what is decided or read before SIGTERM is still carried out and answered.
 
 use ravenspar_standin::platform::{Discovery, Fault, Relay};
 
@@ -8,66 +8,66 @@
 use crate::harness::*;
 
 #[tokio::test]
-async fn what_was_decided_is_carried_out_before_the_end() {
-    let (relay, discovery, _, mut steward) = at_work().await;
-    // The revoke is not carried out, and no answer comes.
+async fn decided_calls_are_carried_out_before_exit() {
+    let (relay, discovery, _, mut steward) = start_serving().await;
+    // The revoke is lost: not carried out and not answered.
     relay.befall(&[Fault::Lost]);
     discovery.set("A", "leaving");
-    until(&relay, |said| said.calls == 1).await;
+    wait_until(&relay, |state| state.calls == 1).await;
     steward.signal("-TERM").await;
-    assert_eq!(steward.ended().await.code(), Some(0));
-    let revoked = relay.with(|said| said.rows.values().all(Option::is_none));
-    assert!(revoked, "{:?}", relay.with(|said| said.orders.clone()));
+    assert_eq!(steward.wait_exit().await.code(), Some(0));
+    let revoked = relay.with(|state| state.rows.values().all(Option::is_none));
+    assert!(revoked, "{:?}", relay.with(|state| state.orders.clone()));
 }
 
 #[tokio::test]
-async fn a_relay_that_never_answers_holds_no_end_up_and_nor_does_a_second_signal() {
+async fn a_relay_that_never_answers_and_a_second_signal_do_not_delay_exit() {
     for signals in [1, 2] {
-        let (relay, discovery, _, mut steward) = at_work().await;
+        let (relay, discovery, _, mut steward) = start_serving().await;
         relay.befall(&[Fault::Lost; 100]);
         discovery.set("A", "leaving");
-        until(&relay, |said| said.calls == 1).await;
-        let asked = std::time::Instant::now();
+        wait_until(&relay, |state| state.calls == 1).await;
+        let signalled_at = std::time::Instant::now();
         for _ in 0..signals {
             steward.signal("-TERM").await;
         }
-        assert_eq!(steward.ended().await.code(), Some(0));
-        let left = relay.with(|said| said.calls);
-        assert!(left < 50, "{left} calls in {:?}", asked.elapsed());
+        assert_eq!(steward.wait_exit().await.code(), Some(0));
+        let calls = relay.with(|state| state.calls);
+        assert!(calls < 50, "{calls} calls in {:?}", signalled_at.elapsed());
     }
 }
 
 #[tokio::test]
-async fn a_steward_that_starts_again_in_the_middle_of_a_move_ends_it_by_the_store_alone() {
-    let (relay, discovery, config, mut steward) = at_work().await;
-    relay.with(|said| said.mute = true);
+async fn a_steward_restarted_during_a_move_completes_it_from_the_store() {
+    let (relay, discovery, config, mut steward) = start_serving().await;
+    relay.with(|state| state.mute = true);
     discovery.set("A", "leaving");
-    until(&relay, |said| said.rows.values().all(Option::is_none)).await;
+    wait_until(&relay, |state| state.rows.values().all(Option::is_none)).await;
     steward.signal("-TERM").await;
-    assert_eq!(steward.ended().await.code(), Some(0));
-    relay.with(|said| said.mute = false);
-    let mut again = Steward::start(&config).await;
-    assert!(alive(&mut again.connect().await).await);
-    until(&relay, |said| all_at(said, "B")).await;
-    relay.with(|said| kept_the_way(said));
-    again.signal("-KILL").await;
-    assert_eq!(again.ended().await.code(), None);
+    assert_eq!(steward.wait_exit().await.code(), Some(0));
+    relay.with(|state| state.mute = false);
+    let mut restarted = Steward::start(&config).await;
+    assert!(answers_ping(&mut restarted.connect().await).await);
+    wait_until(&relay, |state| all_slices_at(state, "B")).await;
+    relay.with(|state| assert_moves_revoke_first(state));
+    restarted.signal("-KILL").await;
+    assert_eq!(restarted.wait_exit().await.code(), None);
 }
 
 #[tokio::test]
-async fn it_is_ready_without_relay_and_discovery_and_ends_as_readily() {
-    let (relay, discovery, config, first) = at_work().await;
-    // Both are gone: their addresses take nothing.
+async fn it_starts_and_exits_without_relay_and_discovery() {
+    let (relay, discovery, config, first) = start_serving().await;
+    // Both are gone: nothing listens at their addresses.
     drop((relay, discovery, first));
     let mut steward = Steward::start(&config).await;
-    assert!(alive(&mut steward.connect().await).await);
+    assert!(answers_ping(&mut steward.connect().await).await);
     steward.signal("-TERM").await;
-    assert_eq!(steward.ended().await.code(), Some(0));
+    assert_eq!(steward.wait_exit().await.code(), Some(0));
 }
 
-/// Its address is taken at first, as by a process killed a moment ago.
+/// Its address is in use at first, as by a process that was just killed.
 #[tokio::test]
-async fn a_signal_while_the_start_is_tried_again_is_not_lost() {
+async fn a_signal_while_the_start_is_retried_is_not_lost() {
     let relay = Relay::start(2, "A", 2).await.expect("a relay");
     let discovery = Discovery::start(&["A", "B"]).await.expect("discovery");
     let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("an address");
@@ -75,94 +75,97 @@
     config["listen"] = taken.local_addr().expect("an address").to_string().into();
     discovery.set("A", "leaving");
     let mut steward = Steward::spawn(&config, "", &[]);
-    steward.logged("the start is tried again").await;
+    steward.wait_for_log("the start is tried again").await;
     steward.signal("-TERM").await;
     drop(taken);
-    assert_eq!(steward.ended().await.code(), Some(0));
-    assert_eq!(relay.with(|said| said.calls), 0, "it had nothing to carry out");
+    assert_eq!(steward.wait_exit().await.code(), Some(0));
+    assert_eq!(relay.with(|state| state.calls), 0, "no call was due");
 }
 
 #[tokio::test]
-async fn parties_in_the_middle_of_a_frame_hold_no_end_up_and_are_closed() {
-    let (_relay, _discovery, _, mut steward) = at_work().await;
+async fn peers_in_the_middle_of_a_frame_do_not_delay_exit_and_are_closed() {
+    let (_relay, _discovery, _, mut steward) = start_serving().await;
     let source = frame(r#"{"msg":"SOURCE","site":"a"}"#);
-    let (mut collector, mut stranger) = (steward.connect().await, steward.connect().await);
-    collector.write_all(&source).await.expect("taken in");
-    assert!(alive(&mut collector).await);
-    // Answered in order, so that the half behind it is read by then.
-    let half = [&frame(r#"{"msg":"PING"}"#)[..], &frame(r#"{"msg":"LOAD","site":"a"}"#)[..9]].concat();
-    collector.write_all(&half).await.expect("taken in");
-    assert_eq!(heard(&mut collector).await.as_deref(), Some(r#"{"msg":"PONG"}"#));
-    stranger.write_all(&source[..5]).await.expect("taken in");
+    let (mut collector, mut unidentified) = (steward.connect().await, steward.connect().await);
+    collector.write_all(&source).await.expect("the message is sent");
+    assert!(answers_ping(&mut collector).await);
+    // Answers come in order: after the pong the partial frame behind the ping has been read.
+    let ping_and_partial_frame =
+        [&frame(r#"{"msg":"PING"}"#)[..], &frame(r#"{"msg":"LOAD","site":"a"}"#)[..9]].concat();
+    collector.write_all(&ping_and_partial_frame).await.expect("the message is sent");
+    assert_eq!(read_frame(&mut collector).await.as_deref(), Some(r#"{"msg":"PONG"}"#));
+    unidentified.write_all(&source[..5]).await.expect("the message is sent");
     steward.signal("-TERM").await;
-    assert_eq!(steward.ended().await.code(), Some(0));
-    assert!(closed(&mut collector).await && closed(&mut stranger).await);
+    assert_eq!(steward.wait_exit().await.code(), Some(0));
+    assert!(closes(&mut collector).await && closes(&mut unidentified).await);
 }
 
-/// Asks for signs of life in bursts until the connection is over.
-async fn asks_until_the_end(mut peer: TcpStream, burst: usize) -> End {
-    let asked = frame(r#"{"msg":"PING"}"#).repeat(burst);
+/// Sends bursts of pings until the connection ends.
+async fn ping_until_the_end(mut peer: TcpStream, burst: usize) -> ConnectionEnd {
+    let pings = frame(r#"{"msg":"PING"}"#).repeat(burst);
     loop {
-        if peer.write_all(&asked).await.is_err() {
-            return End::Kept;
+        if peer.write_all(&pings).await.is_err() {
+            return ConnectionEnd::NothingLost;
         }
-        if let Err(end) = answered_or_unread(&mut peer, burst).await {
+        if let Err(end) = read_pongs(&mut peer, burst).await {
             return end;
         }
     }
 }
 
-/// A party that joins as the process ends: what it has asked behind its joining was read with it, and lost on the way between
-/// two tasks (soak 5040).
+/// Guards against lost pings of a collector that joins as the process ends: they were read with its greeting,
+/// and lost on the way from one task to another (soak 5040).
 #[tokio::test]
-async fn signs_of_life_behind_a_joining_that_meets_the_end_are_answered() {
+async fn pings_sent_with_a_greeting_during_shutdown_are_answered() {
     for round in 0..10 {
-        let (_relay, _discovery, _, mut steward) = at_work().await;
+        let (_relay, _discovery, _, mut steward) = start_serving().await;
         let address = steward.address.clone();
-        let mut parties = tokio::task::JoinSet::new();
+        let mut peers = tokio::task::JoinSet::new();
         for _ in 0..120 {
             let address = address.clone();
-            parties.spawn(async move {
+            peers.spawn(async move {
                 let source = frame(r#"{"msg":"SOURCE","site":"a"}"#);
                 loop {
-                    let Ok(mut party) = TcpStream::connect(&address).await else { return End::Kept };
-                    if party.write_all(&[&source[..], &frame(r#"{"msg":"PING"}"#)].concat()).await.is_err() {
-                        return End::Kept;
+                    let Ok(mut peer) = TcpStream::connect(&address).await else {
+                        return ConnectionEnd::NothingLost;
+                    };
+                    if peer.write_all(&[&source[..], &frame(r#"{"msg":"PING"}"#)].concat()).await.is_err() {
+                        return ConnectionEnd::NothingLost;
                     }
-                    let ended = answered_or_unread(&mut party, 1).await;
+                    let ended = read_pongs(&mut peer, 1).await;
                     if ended != Ok(()) {
-                        return ended.err().unwrap_or(End::Kept);
+                        return ended.err().unwrap_or(ConnectionEnd::NothingLost);
                     }
                 }
             });
         }
         tokio::time::sleep(std::time::Duration::from_millis(20 + 3 * round)).await;
         steward.signal("-TERM").await;
-        assert_eq!(steward.ended().await.code(), Some(0));
-        let ends = parties.join_all().await;
-        assert!(ends.iter().all(|end| *end == End::Kept), "round {round}: {ends:?}");
+        assert_eq!(steward.wait_exit().await.code(), Some(0));
+        let ends = peers.join_all().await;
+        assert!(ends.iter().all(|end| *end == ConnectionEnd::NothingLost), "round {round}: {ends:?}");
     }
 }
 
-/// Peers go on asking on the connections that they have. The process ended with what its tasks had read and not answered yet:
-/// those requests were lost.
+/// Guards against lost pings on connections that stay open: the process ended while its tasks had requests
+/// that were read and not answered.
 #[tokio::test]
-async fn signs_of_life_that_were_read_before_the_end_are_answered() {
+async fn pings_read_before_shutdown_are_answered() {
     for round in 0..6 {
-        let (_relay, _discovery, _, mut steward) = at_work().await;
+        let (_relay, _discovery, _, mut steward) = start_serving().await;
         let mut peers = tokio::task::JoinSet::new();
         for n in 0..24 {
             let mut peer = steward.connect().await;
             if n % 2 == 0 {
-                peer.write_all(&frame(r#"{"msg":"SOURCE","site":"a"}"#)).await.expect("taken in");
+                peer.write_all(&frame(r#"{"msg":"SOURCE","site":"a"}"#)).await.expect("the message is sent");
             }
-            assert!(alive(&mut peer).await);
-            peers.spawn(asks_until_the_end(peer, 1 + n * 20));
+            assert!(answers_ping(&mut peer).await);
+            peers.spawn(ping_until_the_end(peer, 1 + n * 20));
         }
         tokio::time::sleep(std::time::Duration::from_millis(20 + 7 * round)).await;
         steward.signal("-TERM").await;
-        assert_eq!(steward.ended().await.code(), Some(0));
+        assert_eq!(steward.wait_exit().await.code(), Some(0));
         let ends = peers.join_all().await;
-        assert!(ends.iter().all(|end| *end == End::Kept), "round {round}: {ends:?}");
+        assert!(ends.iter().all(|end| *end == ConnectionEnd::NothingLost), "round {round}: {ends:?}");
     }
 }
--- a/crates/ravenspar/tests/platform/harness.rs
+++ b/crates/ravenspar/tests/platform/harness.rs
@@ -1,4 +1,4 @@
-//! The program as `run` starts it, and what is asked of the store.
+//! Test harness: the program as the deploy file's `run` starts it, and conditions on the relay's store.
 
 use std::path::{Path, PathBuf};
 use std::process::{ExitStatus, Stdio};
@@ -11,9 +11,10 @@
 use tokio::process::{Child, ChildStderr, Command};
 use tokio::time::{sleep, timeout};
 
-/// Long enough for a busy machine; a test that waits this long has failed.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+/// Enough for a busy machine; a wait that takes this long has failed.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
+/// A steward process with its log, its address and its configuration file.
 pub struct Steward {
     pub child: Child,
     log: Option<tokio::io::Lines<BufReader<ChildStderr>>>,
@@ -22,7 +23,7 @@
     _dir: tempfile::TempDir,
 }
 
-/// A configuration of two slices and two proxies, quick enough for tests.
+/// Returns a configuration of two slices and two proxies, with times short enough for tests.
 pub fn config(relay: &Relay, discovery: &Discovery) -> Value {
     json!({
         "name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.address.to_string(), "seed": "8c1f30d27a5be964",
@@ -42,8 +43,8 @@
     })
 }
 
-/// `run` of the deploy file, with the program that is tested.
-pub fn run_line() -> String {
+/// Returns the `run` command of the deploy file, with the program under test.
+pub fn run_command() -> String {
     let deploy = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/balancer.toml");
     let deploy = std::fs::read_to_string(deploy).expect("a deploy file");
     let run = deploy.lines().find_map(|line| line.strip_prefix("run = \"")?.strip_suffix('"'));
@@ -53,31 +54,32 @@
 }
 
 impl Steward {
+    /// Starts the program and waits until it serves.
     pub async fn start(config: &Value) -> Steward {
         Steward::start_with(config, "").await
     }
 
-    /// With more words on the line that starts it.
-    pub async fn start_with(config: &Value, more: &str) -> Steward {
-        Steward::start_in(config, more, &[]).await
+    /// Starts it with additional arguments.
+    pub async fn start_with(config: &Value, args: &str) -> Steward {
+        Steward::start_in(config, args, &[]).await
     }
 
-    /// With more in its environment.
-    pub async fn start_in(config: &Value, more: &str, environment: &[(&str, &Path)]) -> Steward {
-        let mut steward = Steward::spawn(config, more, environment);
-        let line = steward.logged("serving").await;
+    /// Starts it with additional arguments and environment variables.
+    pub async fn start_in(config: &Value, args: &str, environment: &[(&str, &Path)]) -> Steward {
+        let mut steward = Steward::spawn(config, args, environment);
+        let line = steward.wait_for_log("serving").await;
         let listen = line.split(' ').find_map(|word| word.strip_prefix("listen="));
-        steward.address = listen.expect("it says where it listens").to_owned();
+        steward.address = listen.expect("a `listen` field").to_owned();
         steward
     }
 
-    /// The same, which may not serve yet, at the address that the configuration says.
-    pub fn spawn(config: &Value, more: &str, environment: &[(&str, &Path)]) -> Steward {
-        let dir = tempfile::tempdir().expect("a folder");
+    /// Starts the process without waiting until it serves; the address is that of the configuration.
+    pub fn spawn(config: &Value, args: &str, environment: &[(&str, &Path)]) -> Steward {
+        let dir = tempfile::tempdir().expect("a temporary folder");
         let path = dir.path().join("config.json");
-        std::fs::write(&path, config.to_string()).expect("written");
-        // As the deploy file says, and with as many descriptors as the configuration says.
-        let limited = format!("ulimit -n {}; {} {more}", config["limits"]["sockets"], run_line());
+        std::fs::write(&path, config.to_string()).expect("the configuration is written");
+        // As in the deploy file, with the configured limit of descriptors.
+        let limited = format!("ulimit -n {}; {} {args}", config["limits"]["sockets"], run_command());
         let mut child = Command::new("/bin/sh")
             .args(["-c", &limited])
             .env("RELAY_CONFIG", &path)
@@ -85,50 +87,50 @@
             .stderr(Stdio::piped())
             .kill_on_drop(true)
             .spawn()
-            .expect("it starts");
+            .expect("the process starts");
         let log = Some(BufReader::new(child.stderr.take().expect("a log")).lines());
         let address = config["listen"].as_str().unwrap_or_default().to_owned();
         Steward { child, log, address, config: path, _dir: dir }
     }
 
     async fn next_line(&mut self) -> Option<String> {
-        let log = self.log.as_mut().expect("a log that was not closed");
-        let line = timeout(PATIENCE, log.next_line()).await.expect("in time");
-        line.expect("a log that can be read")
+        let log = self.log.as_mut().expect("the log is still held");
+        let line = timeout(TEST_TIMEOUT, log.next_line()).await.expect("in time");
+        line.expect("the log is readable")
     }
 
-    /// Nobody reads the log any more.
+    /// Closes the reading end of the log.
     pub fn close_log(&mut self) {
         drop(self.take_log());
     }
 
-    /// The log from now on, for whoever reads it in this one's place.
+    /// Hands the rest of the log to the caller.
     pub fn take_log(&mut self) -> tokio::io::Lines<BufReader<ChildStderr>> {
-        self.log.take().expect("a log that was not closed")
+        self.log.take().expect("the log is still held")
     }
 
-    /// Reads the log to its end.
-    pub async fn read_log(&mut self) {
+    /// Reads and drops the log to its end.
+    pub async fn drain_log(&mut self) {
         while self.next_line().await.is_some() {}
     }
 
-    /// The next line of the log that has these words.
-    pub async fn logged(&mut self, words: &str) -> String {
+    /// Returns the next log line that contains `text`.
+    pub async fn wait_for_log(&mut self, text: &str) -> String {
         loop {
-            let line = self.next_line().await.expect("the line comes before the end");
-            if line.contains(words) {
+            let line = self.next_line().await.expect("the line before the end of the log");
+            if line.contains(text) {
                 return line;
             }
         }
     }
 
-    /// Asks it to end, and counts the lines of its log up to then that have these words.
-    pub async fn ended_with(&mut self, words: &str) -> usize {
+    /// Sends SIGTERM, and counts the log lines up to its effect that contain `text`.
+    pub async fn terminate_and_count_log(&mut self, text: &str) -> usize {
         self.signal("-TERM").await;
         let mut count = 0;
         loop {
-            let line = self.next_line().await.expect("the line comes before the end");
-            count += usize::from(line.contains(words));
+            let line = self.next_line().await.expect("the line before the end of the log");
+            count += usize::from(line.contains(text));
             if line.contains("asked to end") {
                 return count;
             }
@@ -136,118 +138,124 @@
     }
 
     pub async fn connect(&self) -> TcpStream {
-        TcpStream::connect(&self.address).await.expect("it listens")
+        TcpStream::connect(&self.address).await.expect("the steward accepts connections")
     }
 
     pub async fn signal(&self, name: &str) {
-        let id = self.child.id().expect("it runs").to_string();
-        let sent = Command::new("kill").args([name, &id]).status().await.expect("kill runs");
+        let id = self.child.id().expect("the process is running").to_string();
+        let sent = Command::new("kill").args([name, &id]).status().await.expect("`kill` runs");
         assert!(sent.success());
     }
 
-    pub async fn ended(&mut self) -> ExitStatus {
-        timeout(PATIENCE, self.child.wait()).await.expect("in time").expect("it ended")
+    /// Waits until the process has exited.
+    pub async fn wait_exit(&mut self) -> ExitStatus {
+        timeout(TEST_TIMEOUT, self.child.wait()).await.expect("in time").expect("the process has exited")
     }
 }
 
+/// Encodes a frame.
 pub fn frame(body: &str) -> Vec<u8> {
     [&(body.len() as u32).to_le_bytes(), body.as_bytes()].concat()
 }
 
-/// The next frame's body; `None` where the connection is at its end.
-pub async fn heard(stream: &mut TcpStream) -> Option<String> {
+/// Returns the next frame's body, or `None` at the end of the connection.
+pub async fn read_frame(stream: &mut TcpStream) -> Option<String> {
     let read = async {
         let length = stream.read_u32_le().await.ok()?;
         let mut body = vec![0; length as usize];
         stream.read_exact(&mut body).await.ok()?;
         String::from_utf8(body).ok()
     };
-    timeout(PATIENCE, read).await.expect("in time")
+    timeout(TEST_TIMEOUT, read).await.expect("in time")
 }
 
-/// Whether the connection is closed, with whatever was said before.
-pub async fn closed(stream: &mut TcpStream) -> bool {
+/// Returns true if the connection is closed in time, whatever was sent before.
+pub async fn closes(stream: &mut TcpStream) -> bool {
     let mut rest = Vec::new();
-    timeout(PATIENCE, stream.read_to_end(&mut rest)).await.is_ok()
+    timeout(TEST_TIMEOUT, stream.read_to_end(&mut rest)).await.is_ok()
 }
 
-pub async fn alive(stream: &mut TcpStream) -> bool {
+/// Returns true if a ping is answered.
+pub async fn answers_ping(stream: &mut TcpStream) -> bool {
     let sent = stream.write_all(&frame(r#"{"msg":"PING"}"#)).await;
-    sent.is_ok() && heard(stream).await.as_deref() == Some(r#"{"msg":"PONG"}"#)
+    sent.is_ok() && read_frame(stream).await.as_deref() == Some(r#"{"msg":"PONG"}"#)
 }
 
-pub async fn until(relay: &Relay, so: impl Fn(&Said) -> bool) {
-    timeout(PATIENCE, relay.until(so)).await.expect("the store comes to it in time");
+/// Waits until the relay's state fulfils a condition.
+pub async fn wait_until(relay: &Relay, condition: impl Fn(&Said) -> bool) {
+    timeout(TEST_TIMEOUT, relay.until(condition)).await.expect("the state is reached in time");
 }
 
-pub fn all_at(said: &Said, host: &str) -> bool {
-    said.rows.values().all(|row| row.as_ref().is_some_and(|(owner, weight)| owner == host && *weight == 1.0))
+/// Returns true if all slices are at this host with full weight.
+pub fn all_slices_at(state: &Said, host: &str) -> bool {
+    state.rows.values().all(|row| row.as_ref().is_some_and(|(owner, weight)| owner == host && *weight == 1.0))
 }
 
-/// No slice goes to another host but by way of no host at all, and calls come in their order.
-pub fn kept_the_way(said: &Said) {
-    let mut rows = std::collections::BTreeMap::new();
-    for order in &said.orders {
+/// Asserts that no slice moves to another host without a revoke between, and that calls arrive in their
+/// order.
+pub fn assert_moves_revoke_first(state: &Said) {
+    let mut owners = std::collections::BTreeMap::new();
+    for order in &state.orders {
         let slice = order["cluster"].as_u64();
         match order["verb"].as_str() {
-            Some("clear") => drop(rows.insert(slice, None)),
+            Some("clear") => drop(owners.insert(slice, None)),
             Some("share") => {
                 let owner = order["target"].as_str().map(str::to_owned);
-                let before = rows.insert(slice, owner.clone());
-                assert!(before == Some(None) || before == Some(owner), "{:?}", said.orders);
+                let before = owners.insert(slice, owner.clone());
+                assert!(before == Some(None) || before == Some(owner), "{:?}", state.orders);
             }
             _ => {}
         }
     }
 }
 
-/// A steward that has subscribed, with two hosts and all slices at the first.
-pub async fn at_work() -> (Relay, Discovery, Value, Steward) {
+/// Starts a steward that has subscribed, with two hosts and all slices at the first.
+pub async fn start_serving() -> (Relay, Discovery, Value, Steward) {
     let relay = Relay::start(2, "A", 2).await.expect("a relay");
     let discovery = Discovery::start(&["A", "B"]).await.expect("discovery");
     let config = config(&relay, &discovery);
     let steward = Steward::start(&config).await;
-    until(&relay, |said| said.subscriptions == 1).await;
-    // A second call means that the answer to the first was taken.
-    timeout(PATIENCE, discovery.until_called(2)).await.expect("a watch in time");
+    wait_until(&relay, |state| state.subscriptions == 1).await;
+    // A second call shows that the answer to the first was accepted.
+    timeout(TEST_TIMEOUT, discovery.until_called(2)).await.expect("a watch in time");
     (relay, discovery, config, steward)
 }
 
-/// All slices go from one host to the other, in the one way.
-pub async fn moves(relay: &Relay, discovery: &Discovery, from: &str, to: &str) {
+/// Moves all slices from one host to the other by a drain, and asserts that each was revoked first.
+pub async fn move_all_slices(relay: &Relay, discovery: &Discovery, from: &str, to: &str) {
     discovery.set(to, "active");
     discovery.set(from, "leaving");
-    until(relay, |said| all_at(said, to)).await;
-    relay.with(|said| kept_the_way(said));
+    wait_until(relay, |state| all_slices_at(state, to)).await;
+    relay.with(|state| assert_moves_revoke_first(state));
 }
 
-/// How a connection ended for a peer that was owed answers.
+/// How a connection ended for a peer that still waited for answers.
 #[derive(Debug, PartialEq)]
-pub enum End {
-    /// All that it had asked was answered, or was not read.
-    Kept,
-    /// So many were read and not answered.
-    Lost(usize),
+pub enum ConnectionEnd {
+    /// Every request was answered, or left unread.
+    NothingLost,
+    /// This many requests were read and not answered.
+    AnswersLost(usize),
 }
 
-/// Waits for so many answers. Fails with how the connection ended, where it did: the end of a stream with nothing left unread,
-/// and with answers due, is a loss, also behind a NACK; a reset says that something was left unread.
-pub async fn answered_or_unread(peer: &mut TcpStream, due: usize) -> Result<(), End> {
-    let pongs = |said: &[u8]| said.windows(4).filter(|word| *word == b"PONG").count();
-    let mut said = Vec::new();
-    while pongs(&said) < due {
-        match peer.read_buf(&mut said).await {
-            Err(_) => return Err(End::Kept),
-            Ok(0) if is_left_unread(peer).await => return Err(End::Kept),
-            Ok(0) => return Err(End::Lost(due - pongs(&said))),
+/// Reads `due` pongs. Fails with how the connection ended if it did: the end of the stream with nothing left
+/// unread while answers are due is a loss, also after a NACK; a reset shows that data was left unread.
+pub async fn read_pongs(peer: &mut TcpStream, due: usize) -> Result<(), ConnectionEnd> {
+    let pongs = |received: &[u8]| received.windows(4).filter(|word| *word == b"PONG").count();
+    let mut received = Vec::new();
+    while pongs(&received) < due {
+        match peer.read_buf(&mut received).await {
+            Err(_) => return Err(ConnectionEnd::NothingLost),
+            Ok(0) if is_left_unread(peer).await => return Err(ConnectionEnd::NothingLost),
+            Ok(0) => return Err(ConnectionEnd::AnswersLost(due - pongs(&received))),
             Ok(_) => {}
         }
     }
     Ok(())
 }
 
-/// Whether a stream that has ended tells by a reset that something was left unread. What was read is acknowledged by then; what
-/// is still in flight is sent again until a reset answers it.
+/// Returns true if a stream that has ended shows by a reset that data was left unread. What was read is
+/// acknowledged by then; what is still in flight is sent again until a reset answers it.
 pub async fn is_left_unread(peer: &TcpStream) -> bool {
     let is_reset = || !matches!(peer.take_error(), Ok(None));
     let in_flight = async {
@@ -255,22 +263,23 @@
             sleep(Duration::from_millis(1)).await;
         }
     };
-    if timeout(PATIENCE, in_flight).await.is_err() {
+    if timeout(TEST_TIMEOUT, in_flight).await.is_err() {
         return false;
     }
     if is_reset() {
         return true;
     }
-    // A close that comes after the end of the stream.
+    // The close may come shortly after the end of the stream.
     sleep(Duration::from_millis(50)).await;
     is_reset()
 }
 
-/// Whether the system has nothing in hand that this end has sent and the other has not acknowledged.
+/// Returns true if the peer has acknowledged everything that this end has sent.
 fn is_acknowledged(peer: &TcpStream) -> bool {
-    // The addresses of one that was reset can't be asked for.
+    // The addresses of a connection that was reset can't be queried.
     let (Ok(local), Ok(remote)) = (peer.local_addr(), peer.peer_addr()) else { return true };
-    let sockets = procfs::net::tcp().expect("the system's table of sockets");
-    let mut ours = sockets.iter().filter(|of| of.local_address == local && of.remote_address == remote);
-    ours.all(|of| of.tx_queue == 0)
+    let sockets = procfs::net::tcp().expect("the system's socket table");
+    let mut ours =
+        sockets.iter().filter(|socket| socket.local_address == local && socket.remote_address == remote);
+    ours.all(|socket| socket.tx_queue == 0)
 }
--- a/crates/ravenspar/tests/platform/harness_tests.rs
+++ b/crates/ravenspar/tests/platform/harness_tests.rs
@@ -1,4 +1,4 @@
-//! The harness tells a request that was read from one that was not.
+//! Tests that the harness tells a request that was read from one that was not.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 
 use crate::harness::is_left_unread;
 
-/// Longer than the harness waits for a reset of what was acknowledged.
+/// Longer than the harness waits for a reset after everything is acknowledged.
 const CLOSED_LATE: Duration = Duration::from_millis(300);
 
 async fn connection() -> (TcpStream, TcpStream) {
@@ -18,9 +18,10 @@
     (client.expect("a connection"), accepted.expect("a connection").0)
 }
 
-/// CI took a burst for lost that reached a socket as it closed: its reset came 200 ms later, when the burst was sent again.
+/// Guards against a burst that CI took for lost: it reached a socket as it closed, and its reset came 200 ms
+/// later, when the burst was sent again.
 #[tokio::test]
-async fn what_is_in_flight_as_the_stream_ends_was_not_read() {
+async fn data_in_flight_at_the_end_of_the_stream_counts_as_unread() {
     let (mut client, mut server) = connection().await;
     while client.try_write(&[0; 65536]).is_ok() {}
     server.shutdown().await.expect("the end of the stream");
@@ -34,9 +35,9 @@
 }
 
 #[tokio::test]
-async fn what_was_read_before_the_stream_ended_was_not_left_unread() {
+async fn data_read_before_the_end_of_the_stream_does_not_count_as_unread() {
     let (mut client, mut server) = connection().await;
-    client.write_all(&[0; 100]).await.expect("taken in");
+    client.write_all(&[0; 100]).await.expect("requests are sent");
     server.read_exact(&mut [0; 100]).await.expect("requests");
     drop(server);
     assert_eq!(client.read(&mut [0; 8]).await.expect("the end of the stream"), 0);
--- a/crates/ravenspar/tests/platform/list.rs
+++ b/crates/ravenspar/tests/platform/list.rs
@@ -1,4 +1,4 @@
-//! Lists that break off, stop or start over.
+//! Host lists that are cut off, stop changing, or restart their version numbers.
 
 use ravenspar_standin::platform::{Discovery, ListFault};
 use serde_json::json;
@@ -6,41 +6,41 @@
 use crate::harness::*;
 
 #[tokio::test]
-async fn a_watch_that_is_alive_and_tells_nothing_new_holds_no_drain_up_for_good() {
-    let (relay, discovery, _, _steward) = at_work().await;
+async fn a_watch_that_reports_no_changes_does_not_block_a_drain_for_good() {
+    let (relay, discovery, _, _steward) = start_serving().await;
     let calls = discovery.calls();
     discovery.freeze();
     discovery.set("A", "leaving");
-    until(&relay, |said| all_at(said, "B")).await;
-    assert!(discovery.calls() > calls + 5, "the watch went on");
+    wait_until(&relay, |state| all_slices_at(state, "B")).await;
+    assert!(discovery.calls() > calls + 5, "the watch continued");
 }
 
 #[tokio::test]
-async fn answers_that_break_off_are_asked_for_again() {
-    let (relay, discovery, _, _steward) = at_work().await;
+async fn lists_that_are_cut_off_are_requested_again() {
+    let (relay, discovery, _, _steward) = start_serving().await;
     use ListFault::{Broken, Short, Silent, Spoilt};
     discovery.befall(&[Broken, Short, Spoilt, Silent, Broken, Broken, Broken, Broken, Short]);
-    moves(&relay, &discovery, "A", "B").await;
-    moves(&relay, &discovery, "B", "A").await;
+    move_all_slices(&relay, &discovery, "A", "B").await;
+    move_all_slices(&relay, &discovery, "B", "A").await;
 }
 
 #[tokio::test]
-async fn an_entry_that_cannot_be_read_holds_up_nothing_but_its_own_host() {
-    let (relay, discovery, _, mut steward) = at_work().await;
+async fn an_unreadable_entry_affects_only_its_own_host() {
+    let (relay, discovery, _, mut steward) = start_serving().await;
     discovery.set("C", "of another version");
-    assert!(steward.logged("a list that can't be used").await.contains("lifecycle"));
-    moves(&relay, &discovery, "A", "B").await;
+    assert!(steward.wait_for_log("a list that can't be used").await.contains("lifecycle"));
+    move_all_slices(&relay, &discovery, "A", "B").await;
 }
 
 #[tokio::test]
-async fn a_discovery_that_counts_from_elsewhere_is_followed() {
-    let (relay, discovery, mut config, mut steward) = at_work().await;
+async fn a_discovery_that_renumbers_its_versions_is_followed() {
+    let (relay, discovery, mut config, mut steward) = start_serving().await;
     discovery.renumber(40);
-    moves(&relay, &discovery, "A", "B").await;
-    let elsewhere = Discovery::start(&["A", "B"]).await.expect("discovery");
-    config["discovery"] = json!(elsewhere.address.to_string());
+    move_all_slices(&relay, &discovery, "A", "B").await;
+    let new_discovery = Discovery::start(&["A", "B"]).await.expect("discovery");
+    config["discovery"] = json!(new_discovery.address.to_string());
     std::fs::write(&steward.config, config.to_string()).expect("written");
     steward.signal("-HUP").await;
-    assert!(steward.logged("older than the one held").await.contains("version 1 "));
-    moves(&relay, &elsewhere, "B", "A").await;
+    assert!(steward.wait_for_log("older than the one held").await.contains("version 1 "));
+    move_all_slices(&relay, &new_discovery, "B", "A").await;
 }
--- a/crates/ravenspar/tests/platform/main.rs
+++ b/crates/ravenspar/tests/platform/main.rs
@@ -1,4 +1,4 @@
-//! The platform front as a process, against the stand-ins of relay and discovery.
+//! Tests of the platform front as a process, against stand-ins of the relay and of discovery.
 
 mod answers;
 mod configuration;
--- a/crates/ravenspar/tests/platform/moves.rs
+++ b/crates/ravenspar/tests/platform/moves.rs
@@ -1,33 +1,33 @@
-//! Moves, whatever befalls calls and news.
+//! Moves complete despite faults of calls and notifications.
 
 use ravenspar_standin::platform::{Discovery, Fault, Relay};
 
 use crate::harness::*;
 
 #[tokio::test]
-async fn a_drain_moves_all_slices_whatever_befalls_the_calls_and_the_news() {
+async fn a_drain_moves_all_slices_despite_faults_of_calls_and_notifications() {
     let relay = Relay::start(2, "A", 2).await.expect("a relay");
     let discovery = Discovery::start(&["A", "B"]).await.expect("discovery");
     let mut steward = Steward::start(&config(&relay, &discovery)).await;
-    assert!(alive(&mut steward.connect().await).await);
-    until(&relay, |said| said.subscriptions == 1).await;
+    assert!(answers_ping(&mut steward.connect().await).await);
+    wait_until(&relay, |state| state.subscriptions == 1).await;
     use Fault::{Broken, Lost, Spoilt, Throttled, Unanswered};
     relay.befall(&[Throttled, Unanswered, Lost, Broken, Spoilt, Throttled, Lost]);
     discovery.set("A", "leaving");
-    until(&relay, |said| said.orders.iter().any(|order| order["verb"] == "clear")).await;
+    wait_until(&relay, |state| state.orders.iter().any(|order| order["verb"] == "clear")).await;
     relay.cut();
-    until(&relay, |said| all_at(said, "B")).await;
-    relay.with(|said| kept_the_way(said));
-    // And back, with the answers to the first mark lost in a gap.
+    wait_until(&relay, |state| all_slices_at(state, "B")).await;
+    relay.with(|state| assert_moves_revoke_first(state));
+    // And back, with the answers to the first mark lost while the subscription is broken.
     discovery.set("A", "active");
-    relay.with(|said| said.mute = true);
-    let calls = relay.with(|said| said.calls);
+    relay.with(|state| state.mute = true);
+    let calls = relay.with(|state| state.calls);
     discovery.set("B", "leaving");
-    until(&relay, |said| said.calls > calls).await;
-    relay.with(|said| said.mute = false);
+    wait_until(&relay, |state| state.calls > calls).await;
+    relay.with(|state| state.mute = false);
     relay.cut();
-    until(&relay, |said| all_at(said, "A")).await;
-    relay.with(|said| kept_the_way(said));
+    wait_until(&relay, |state| all_slices_at(state, "A")).await;
+    relay.with(|state| assert_moves_revoke_first(state));
     steward.signal("-TERM").await;
-    assert_eq!(steward.ended().await.code(), Some(0));
+    assert_eq!(steward.wait_exit().await.code(), Some(0));
 }
--- a/crates/ravenspar/tests/platform/recovery.rs
+++ b/crates/ravenspar/tests/platform/recovery.rs
@@ -1,4 +1,5 @@
-//! Drains that are owed while news or calls are in trouble: each is ordered as soon as the store can be reached.
+//! Drains that are due while notifications or calls fail: each is ordered as soon as the store can be
+//! reached.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -9,44 +10,44 @@
 
 use crate::harness::*;
 
-fn revoked(said: &Said, slice: u64) -> bool {
-    said.orders.iter().any(|order| order["verb"] == "clear" && order["cluster"] == slice)
+fn is_revoked(state: &Said, slice: u64) -> bool {
+    state.orders.iter().any(|order| order["verb"] == "clear" && order["cluster"] == slice)
 }
 
 #[tokio::test]
-async fn answers_that_a_gap_swallowed_do_not_fill_the_channel_for_good() {
+async fn answers_lost_between_subscriptions_do_not_fill_the_channel_for_good() {
     let relay = Relay::start(20, "A", 2).await.expect("a relay");
     let discovery = Discovery::start(&["A", "B"]).await.expect("discovery");
     let mut config = config(&relay, &discovery);
     config["settings"]["family_info"]["ranges"] = json!(20);
-    // A revoke of all slices, 12 lines of head and the mark nearly fill it at both proxies.
+    // A revoke of all slices, 12 lines of overhead and the mark nearly fill the channel of both proxies.
     config["settings"]["family_info"]["pending_max"] = json!(80.0);
-    // Nothing is forgotten for being old.
+    // Nothing expires by its age.
     config["settings"]["family_info"]["update_window_s"] = json!(3_600.0);
     let mut steward = Steward::start(&config).await;
-    // A list that is heard in the middle of what stands has one revoke for some slices and another for the rest, which finds no
-    // room while nobody answers.
-    steward.logged("all that stands is told").await;
-    // The proxies answer, and the news break off before anything of that is told.
-    relay.with(|said| said.mute = true);
+    // A list received during the snapshot would split the revoke in two, and the second part would find no
+    // capacity while no proxy answers.
+    steward.wait_for_log("all that stands is told").await;
+    // The proxies answer, and the subscription breaks off before any answer is reported.
+    relay.with(|state| state.mute = true);
     discovery.set("A", "leaving");
-    until(&relay, |said| (0..20).all(|slice| revoked(said, slice))).await;
+    wait_until(&relay, |state| (0..20).all(|slice| is_revoked(state, slice))).await;
     relay.cut();
-    relay.with(|said| said.mute = false);
-    until(&relay, |said| all_at(said, "B")).await;
-    relay.with(|said| kept_the_way(said));
+    relay.with(|state| state.mute = false);
+    wait_until(&relay, |state| all_slices_at(state, "B")).await;
+    relay.with(|state| assert_moves_revoke_first(state));
 }
 
 #[tokio::test]
-async fn a_slice_that_is_taken_and_given_back_again_and_again_stops_no_other() {
-    let (relay, discovery, _, mut steward) = at_work().await;
+async fn a_slice_handed_over_again_and_again_blocks_no_other() {
+    let (relay, discovery, _, mut steward) = start_serving().await;
     let (relay, over) = (Arc::new(relay), Arc::new(AtomicBool::new(false)));
     let flapping = tokio::spawn({
         let (relay, over) = (relay.clone(), over.clone());
         async move {
             while !over.load(Ordering::Relaxed) {
-                let row = relay.with(|said| said.take_slice(0));
-                relay.with(|said| said.give_slice(0, row));
+                let row = relay.with(|state| state.take_slice(0));
+                relay.with(|state| state.give_slice(0, row));
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         }
@@ -54,33 +55,29 @@
     for (from, to) in [("A", "B"), ("B", "A"), ("A", "B")] {
         discovery.set(to, "active");
         discovery.set(from, "leaving");
-        until(&relay, |said| {
-            said.rows.get(&1).is_some_and(|row| row.as_ref().is_some_and(|row| row.0 == to))
+        wait_until(&relay, |state| {
+            state.rows.get(&1).is_some_and(|row| row.as_ref().is_some_and(|row| row.0 == to))
         })
         .await;
     }
     over.store(true, Ordering::Relaxed);
-    flapping.await.expect("it ends");
-    until(&relay, |said| all_at(said, "B")).await;
-    assert_eq!(
-        relay.with(|said| said.subscriptions),
-        1,
-        "what is unclear of one slice costs no subscription"
-    );
-    assert_eq!(steward.ended_with("news have broken off").await, 0);
+    flapping.await.expect("the task ends");
+    wait_until(&relay, |state| all_slices_at(state, "B")).await;
+    assert_eq!(relay.with(|state| state.subscriptions), 1, "one unclear slice ends no subscription");
+    assert_eq!(steward.terminate_and_count_log("news have broken off").await, 0);
 }
 
 #[tokio::test]
-async fn a_revoke_that_was_lost_is_written_again_while_there_are_no_news() {
-    let (relay, discovery, _, _steward) = at_work().await;
-    relay.with(|said| said.silent_news = true);
+async fn a_lost_revoke_is_sent_again_while_no_notifications_arrive() {
+    let (relay, discovery, _, _steward) = start_serving().await;
+    relay.with(|state| state.silent_news = true);
     relay.befall(&[Fault::Lost, Fault::Lost]);
     discovery.set("A", "leaving");
-    until(&relay, |said| said.calls == 1).await;
+    wait_until(&relay, |state| state.calls == 1).await;
     relay.cut();
-    until(&relay, |said| (0..2).all(|slice| revoked(said, slice))).await;
-    assert_eq!(relay.with(|said| said.subscriptions), 1, "nobody has heard anything since");
-    relay.with(|said| said.silent_news = false);
-    until(&relay, |said| all_at(said, "B")).await;
-    relay.with(|said| kept_the_way(said));
+    wait_until(&relay, |state| (0..2).all(|slice| is_revoked(state, slice))).await;
+    assert_eq!(relay.with(|state| state.subscriptions), 1, "no notification arrived meanwhile");
+    relay.with(|state| state.silent_news = false);
+    wait_until(&relay, |state| all_slices_at(state, "B")).await;
+    relay.with(|state| assert_moves_revoke_first(state));
 }
--- a/crates/ravenspar/tests/soak/clients_tests.rs
+++ b/crates/ravenspar/tests/soak/clients_tests.rs
@@ -11,7 +11,7 @@
 use tokio::time::timeout;
 
 use crate::clients::{ask_on, Address, End, Role};
-use crate::harness::{frame, PATIENCE};
+use crate::harness::{frame, TEST_TIMEOUT};
 
 /// How a process of the stand-in ends.
 #[derive(Clone, Copy)]
@@ -48,7 +48,7 @@
         // The client has looked at how the connection before ended.
         listener.accept().await.expect("a client");
     };
-    timeout(PATIENCE, processes).await.expect("clients that go on");
+    timeout(TEST_TIMEOUT, processes).await.expect("clients that go on");
     client.abort();
     lost.get()
 }
@@ -84,7 +84,7 @@
     let _ = peer.read(&mut [0; 8192]).await.expect("requests");
     peer.write_all(&frame(r#"{"msg":"NACK"}"#)).await.expect("taken in");
     drop(peer);
-    let end = timeout(PATIENCE, ends.recv()).await.expect("in time").expect("an end");
+    let end = timeout(TEST_TIMEOUT, ends.recv()).await.expect("in time").expect("an end");
     collector.abort();
     end
 }
--- a/crates/ravenspar/tests/soak/lists_tests.rs
+++ b/crates/ravenspar/tests/soak/lists_tests.rs
@@ -9,7 +9,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use crate::harness::PATIENCE;
+use crate::harness::TEST_TIMEOUT;
 use crate::judge::Limits;
 use crate::store::{Sizes, Store, Times};
 
@@ -105,7 +105,7 @@
 /// The version that is answered, and the hosts that drain by it.
 async fn answered(mut asking: TcpStream) -> (u64, Vec<String>) {
     let mut answer = String::new();
-    timeout(PATIENCE, asking.read_to_string(&mut answer)).await.expect("in time").expect("an answer");
+    timeout(TEST_TIMEOUT, asking.read_to_string(&mut answer)).await.expect("in time").expect("an answer");
     let (_, body) = answer.split_once("\r\n\r\n").expect("a body");
     let list: Value = serde_json::from_str(body).expect("JSON");
     let hosts = list["instances"].as_array().expect("hosts").iter();
--- a/crates/ravenspar/tests/soak/member.rs
+++ b/crates/ravenspar/tests/soak/member.rs
@@ -15,7 +15,7 @@
 use tokio::time::{sleep, timeout, Instant};
 
 use crate::clients::Address;
-use crate::harness::{self, alive, Steward};
+use crate::harness::{self, answers_ping, Steward};
 use crate::judge::At;
 use crate::relay::Relay;
 use crate::schedule::{library, schedule};
@@ -202,14 +202,14 @@
         let ready = async {
             loop {
                 if let Ok(mut party) = TcpStream::connect(&self.address.at).await {
-                    if alive(&mut party).await {
+                    if answers_ping(&mut party).await {
                         return;
                     }
                 }
                 sleep(Duration::from_millis(10)).await;
             }
         };
-        let is_ready = timeout(harness::PATIENCE, ready).await.is_ok();
+        let is_ready = timeout(harness::TEST_TIMEOUT, ready).await.is_ok();
         if let Some(present) = self.present.borrow_mut().as_mut() {
             present.is_ready = is_ready;
         }
--- a/crates/ravenspar/tests/soak/relay_tests.rs
+++ b/crates/ravenspar/tests/soak/relay_tests.rs
@@ -10,7 +10,7 @@
 use tokio::time::{timeout, Instant};
 use tokio_util::codec::{Framed, LinesCodec};
 
-use crate::harness::PATIENCE;
+use crate::harness::TEST_TIMEOUT;
 use crate::relay::{Relay, CLOSED_AFTER};
 use crate::store::Store;
 use crate::store_tests;
@@ -34,7 +34,8 @@
 
 /// The number of the next call that is answered.
 async fn answered(lines: &mut Lines) -> Value {
-    let line = timeout(PATIENCE, lines.next()).await.expect("in time").expect("an answer").expect("a line");
+    let line =
+        timeout(TEST_TIMEOUT, lines.next()).await.expect("in time").expect("an answer").expect("a line");
     serde_json::from_str::<Value>(&line).expect("JSON")["id"].clone()
 }
 
@@ -81,7 +82,10 @@
             timeout(CLOSED_AFTER / 2, refused).await.expect("no new connection");
             open.send(call(2, 1.0)).await.expect("taken in");
             assert_eq!(answered(&mut open).await, 2);
-            assert!(timeout(PATIENCE, open.next()).await.expect("in time").is_none_or(|line| line.is_err()));
+            assert!(timeout(TEST_TIMEOUT, open.next())
+                .await
+                .expect("in time")
+                .is_none_or(|line| line.is_err()));
             assert!(began.elapsed() >= CLOSED_AFTER, "{:?}", began.elapsed());
             closing.await.expect("closed");
             let mut elsewhere = connect(&relay).await;
