--- a/crates/lab/src/work/judge.rs
+++ b/crates/lab/src/work/judge.rs
@@ -1,11 +1,11 @@
-//! Judges a day of work by what the store and the place where effects land have seen, and by nothing that a process says
-//! of itself.
+//! Judges a day with work by what the store and the effects service recorded, and by nothing that a process reports about
+//! itself.
 
 mod debts;
 mod duties;
 mod jobs;
 mod rank;
-mod story;
+mod timeline;
 
 use ravenspar_standin::effects::Landing;
 use ravenspar_standin::store::Change;
@@ -13,48 +13,52 @@
 use serde::Serialize;
 
 use super::day::WorkDay;
-use super::play::Befell;
+use super::play::InjectedFault;
 use crate::fleet::Verdict;
 
 #[cfg(test)]
 mod tests;
 
-/// All that a verdict goes by.
+/// Everything that the verdict is based on; written to `seen.json`.
 #[derive(Serialize)]
-pub struct Seen {
+pub struct Observations {
     pub began: Time,
     pub ended: Time,
-    /// When the last trouble was over and the last job handed in.
-    pub last: Time,
+    /// When the last fault had ended and the last job was submitted.
+    #[serde(rename = "last")]
+    pub last_input: Time,
     pub changes: Vec<Change>,
-    /// What sites have used under each token.
+    /// Uses by token and job id, as the agents recorded them.
     pub used: Vec<((u64, String), Time)>,
     pub landings: Vec<Landing>,
-    pub befell: Vec<Befell>,
-    pub handed_in: usize,
+    #[serde(rename = "befell")]
+    pub injected: Vec<InjectedFault>,
+    #[serde(rename = "handed_in")]
+    pub submitted: usize,
 }
 
 fn seconds(span: Time) -> f64 {
     span as f64 / SECOND as f64
 }
 
-/// A rule: its name, what it comes to, and its breaks.
+/// The result for a rule: its name, a summary of what was measured, and its violations.
 type Finding = (&'static str, String, Vec<String>);
 
-pub fn judge(day: &WorkDay, seen: &Seen) -> Verdict {
-    let story = story::story(&seen.changes);
+/// Checks all rules that apply to the day.
+pub fn judge(day: &WorkDay, observed: &Observations) -> Verdict {
+    let timeline = timeline::timeline(&observed.changes);
     let mut rules: Vec<Finding> = Vec::new();
-    duties::terms_and_owners(seen, &story, &mut rules);
-    duties::time_without_owner(day, seen, &story, &mut rules);
-    duties::changes_of_owner(day, &story, &mut rules);
-    jobs::once_and_none_lost(day, seen, &story, &mut rules);
-    jobs::not_while_held(day, seen, &story, &mut rules);
-    jobs::again_soon(day, seen, &story, &mut rules);
-    jobs::room(seen, &story, &mut rules);
+    duties::terms_and_leaders(observed, &timeline, &mut rules);
+    duties::time_without_leader(day, observed, &timeline, &mut rules);
+    duties::leader_changes(day, &timeline, &mut rules);
+    jobs::exactly_once(day, observed, &timeline, &mut rules);
+    jobs::not_while_held(day, observed, &timeline, &mut rules);
+    jobs::reassigned_soon(day, observed, &timeline, &mut rules);
+    jobs::capacity(observed, &timeline, &mut rules);
     let shares = day.work.debts.as_ref().map(debts::shares).unwrap_or_default();
     if day.work.debts.is_some() {
-        rules.extend(debts::debts_rules(day, seen, &shares));
+        rules.extend(debts::debts_rules(day, observed, &shares));
     }
-    rules.push(rank::by_rank(day, seen, &story, &shares));
+    rules.push(rank::by_rank(day, observed, &timeline, &shares));
     Verdict::of(rules)
 }
--- a/crates/lab/src/work/judge/tests.rs
+++ b/crates/lab/src/work/judge/tests.rs
@@ -1,4 +1,4 @@
-//! The judge is proven by histories that break each rule.
+//! Checks the judge with hand-written histories that break each rule.
 
 use ravenspar_debt::{EpochRow, Fact, Ledger, UseRow};
 use ravenspar_jobs::{Line, State};
@@ -10,11 +10,11 @@
 use crate::work::day::{Bounds, Debts, Work};
 use crate::work::play::PREFIX;
 
-/// A history written by hand: each step is a revision of its own.
-struct Tale {
+/// A hand-written history; each entry gets a revision of its own.
+struct History {
     at: Time,
     revision: i64,
-    seen: Seen,
+    observed: Observations,
 }
 
 fn day() -> WorkDay {
@@ -23,44 +23,44 @@
         about: String::new(),
         seed: 1,
         work: Work { debts: Some(debts), ..Work::default() },
-        troubles: Vec::new(),
+        faults: Vec::new(),
         judge: Bounds {
-            over_within: Span(10 * SECOND),
-            without_owner_most: Span(SECOND),
-            again_within: Span(2 * SECOND),
-            wait_most: Span(5 * SECOND),
+            finished_within: Span(10 * SECOND),
+            max_time_without_leader: Span(SECOND),
+            reassigned_within: Span(2 * SECOND),
+            max_wait: Span(5 * SECOND),
             ..Bounds::default()
         },
     }
 }
 
-impl Tale {
-    /// Two members, the first with the duty, two sites with room for one, a job of two steps.
-    fn new() -> Tale {
-        let mut tale = Tale {
+impl History {
+    /// Two members, the first of which leads the jobs duty, two sites with capacity for one job, and a job of two steps.
+    fn new() -> History {
+        let mut history = History {
             at: 0,
             revision: 10,
-            seen: Seen {
+            observed: Observations {
                 began: 0,
                 ended: 100 * SECOND,
-                last: 0,
+                last_input: 0,
                 changes: Vec::new(),
                 used: Vec::new(),
                 landings: Vec::new(),
-                befell: Vec::new(),
-                handed_in: 1,
+                injected: Vec::new(),
+                submitted: 1,
             },
         };
-        tale.put("member/1", r#"{"name":"steward-0"}"#);
-        tale.put("member/2", r#"{"name":"steward-1"}"#);
-        tale.put("site/a", r#"{"name":"site-0","room":1}"#);
-        tale.put("site/b", r#"{"name":"site-1","room":1}"#);
-        tale.put("duty/jobs", "1");
-        tale.put("job/j", r#"{"user":"u","steps":2,"step_ms":100}"#);
-        tale
+        history.put("member/1", r#"{"name":"steward-0"}"#);
+        history.put("member/2", r#"{"name":"steward-1"}"#);
+        history.put("site/a", r#"{"name":"site-0","room":1}"#);
+        history.put("site/b", r#"{"name":"site-1","room":1}"#);
+        history.put("duty/jobs", "1");
+        history.put("job/j", r#"{"user":"u","steps":2,"step_ms":100}"#);
+        history
     }
 
-    fn step(&mut self) -> i64 {
+    fn next_revision(&mut self) -> i64 {
         self.at += SECOND / 10;
         self.revision += 1;
         self.revision
@@ -73,47 +73,47 @@
             key: format!("{PREFIX}{key}"),
             value: value.map(str::to_owned),
         };
-        self.seen.changes.push(change);
+        self.observed.changes.push(change);
     }
 
     fn put(&mut self, key: &str, value: &str) -> i64 {
-        let revision = self.step();
+        let revision = self.next_revision();
         self.change(key, Some(value));
         revision
     }
 
-    fn gone(&mut self, key: &str) {
-        self.step();
+    fn deletes(&mut self, key: &str) {
+        self.next_revision();
         self.change(key, None);
     }
 
     fn term(&self) -> u64 {
-        let claim = self.seen.changes.iter().rev().find(|change| change.key.ends_with("duty/jobs"));
+        let claim = self.observed.changes.iter().rev().find(|change| change.key.ends_with("duty/jobs"));
         claim.map_or(0, |claim| claim.revision as u64)
     }
 
-    /// A line written by a life's hand.
-    fn line(&mut self, life: &str, hand: &str, job: &str, line: &Line) -> u64 {
-        let text = serde_json::to_string(line).expect("written");
+    /// A line written by an executor of an incarnation.
+    fn line(&mut self, incarnation: &str, executor: &str, job: &str, line: &Line) -> u64 {
+        let text = serde_json::to_string(line).expect("serializable");
         let revision = self.put(&format!("line/{job}"), &text);
-        self.change(&format!("witness/{life}/{hand}"), Some("1"));
+        self.change(&format!("witness/{incarnation}/{executor}"), Some("1"));
         revision as u64
     }
 
-    fn gives(&mut self, life: &str, job: &str, site: u64) -> u64 {
+    fn assigns(&mut self, incarnation: &str, job: &str, site: u64) -> u64 {
         let line = Line { term: self.term(), ..Line::new(State::Leased(site)) };
-        self.line(life, "own", job, &line)
+        self.line(incarnation, "own", job, &line)
     }
 
-    fn ends(&mut self, life: &str, job: &str, last: u64) {
+    fn requeues(&mut self, incarnation: &str, job: &str, last: u64) {
         let line = Line { term: self.term(), last, ..Line::new(State::Waiting) };
-        self.line(life, "own", job, &line);
+        self.line(incarnation, "own", job, &line);
     }
 
-    fn lands(&mut self, site: &str, job: &str, token: u64, step: u64) {
+    fn applies_step(&mut self, site: &str, job: &str, token: u64, step: u64) {
         self.at += SECOND / 10;
         let call = Call::Step { site: site.to_owned(), job: job.to_owned(), token, step };
-        self.seen.landings.push(Landing {
+        self.observed.landings.push(Landing {
             at: self.at,
             call,
             answer: Answer::Landed(step + 1),
@@ -121,7 +121,7 @@
         });
     }
 
-    fn done(&mut self, job: &str, last: u64) {
+    fn completes(&mut self, job: &str, last: u64) {
         self.line("1", "agents", job, &Line { last, ..Line::new(State::Done) });
         self.put(&format!("outcome/{job}"), r#"{"ended":"done"}"#);
     }
@@ -130,7 +130,7 @@
         let fact = Fact { user: "u".to_owned(), group: String::new(), used, last: true };
         let row = UseRow { fact, folded: true };
         let key = format!("use/{token:016x}/j");
-        self.put(&key, &serde_json::to_string(&row).expect("written"));
+        self.put(&key, &serde_json::to_string(&row).expect("serializable"));
         ledger.add("u", "", used);
         ledger.epoch = epoch;
         let row = EpochRow {
@@ -138,176 +138,185 @@
             digest: ledger.digest().iter().map(|byte| format!("{byte:02x}")).collect(),
             ..EpochRow::default()
         };
-        self.change("ranking", Some(&serde_json::to_string(&row).expect("written")));
+        self.change("ranking", Some(&serde_json::to_string(&row).expect("serializable")));
     }
 
-    /// The rules that it breaks.
-    fn breaks(mut self) -> Vec<&'static str> {
-        self.seen.ended = self.at;
-        judge(&day(), &self.seen).broken()
+    /// Judges the history and returns the names of the broken rules.
+    fn broken_rules(mut self) -> Vec<&'static str> {
+        self.observed.ended = self.at;
+        judge(&day(), &self.observed).broken()
     }
 }
 
 fn ledger() -> Ledger {
-    Ledger::new(shares(&day().work.debts.expect("debts")))
+    Ledger::new(shares(&day().work.debts.expect("the day has debts settings")))
 }
 
-/// The job is done at its first site, and its use is counted.
-fn good() -> Tale {
-    let mut tale = Tale::new();
-    let token = tale.gives("1", "j", 0xa);
-    tale.lands("site-0", "j", token, 0);
-    tale.lands("site-0", "j", token, 1);
-    tale.done("j", token);
-    tale.seen.used.push(((token, "j".to_owned()), 500));
-    tale.folds(&mut ledger(), token, 500, 1);
-    tale
+/// The job is done at its first site, and its use is folded.
+fn correct_history() -> History {
+    let mut history = History::new();
+    let token = history.assigns("1", "j", 0xa);
+    history.applies_step("site-0", "j", token, 0);
+    history.applies_step("site-0", "j", token, 1);
+    history.completes("j", token);
+    history.observed.used.push(((token, "j".to_owned()), 500));
+    history.folds(&mut ledger(), token, 500, 1);
+    history
 }
 
 #[test]
-fn a_good_history_breaks_nothing() {
-    assert_eq!(good().breaks(), Vec::<&str>::new());
+fn correct_history_breaks_no_rule() {
+    assert_eq!(correct_history().broken_rules(), Vec::<&str>::new());
 }
 
 #[test]
-fn lower_terms_and_others_than_the_owner() {
-    let mut tale = good();
+fn lower_terms_and_writers_other_than_the_leader_are_reported() {
+    let mut history = correct_history();
     let line = Line { term: 3, ..Line::new(State::Leased(0xb)) };
-    tale.line("1", "own", "j", &line);
-    assert!(tale.breaks().contains(&"D1 terms"));
-    let mut tale = good();
-    tale.gives("2", "j", 0xb);
-    assert!(tale.breaks().contains(&"D2 one owner"));
+    history.line("1", "own", "j", &line);
+    assert!(history.broken_rules().contains(&"D1 terms"));
+    let mut history = correct_history();
+    history.assigns("2", "j", 0xb);
+    assert!(history.broken_rules().contains(&"D2 one owner"));
 }
 
 #[test]
-fn no_owner_and_too_many() {
-    let mut tale = good();
-    tale.gone("duty/jobs");
-    tale.at += 2 * SECOND;
-    tale.put("duty/jobs", "1");
-    assert_eq!(tale.breaks(), ["D3 an owner"]);
-    // One that is killed and still has the claim is none either.
-    let mut tale = good();
+fn missing_leader_and_too_many_leader_changes_are_reported() {
+    let mut history = correct_history();
+    history.deletes("duty/jobs");
+    history.at += 2 * SECOND;
+    history.put("duty/jobs", "1");
+    assert_eq!(history.broken_rules(), ["D3 an owner"]);
+    // A killed steward that still holds the claim doesn't count as a leader either.
+    let mut history = correct_history();
     let who = vec!["steward-0".to_owned()];
-    let befell = Befell { at: tale.at, until: tale.at + 9 * SECOND, what: "killed".to_owned(), who };
-    tale.seen.befell.push(befell);
-    tale.at += 3 * SECOND;
-    tale.put("duty/jobs", "2");
-    assert_eq!(tale.breaks(), ["D3 an owner", "D4 few changes"]);
+    let fault =
+        InjectedFault { at: history.at, until: history.at + 9 * SECOND, what: "killed".to_owned(), who };
+    history.observed.injected.push(fault);
+    history.at += 3 * SECOND;
+    history.put("duty/jobs", "2");
+    assert_eq!(history.broken_rules(), ["D3 an owner", "D4 few changes"]);
 }
 
 #[test]
-fn a_step_that_lands_twice_and_a_job_that_is_lost() {
-    let mut tale = good();
-    let token = tale.revision as u64;
-    tale.lands("site-0", "j", token, 1);
-    assert_eq!(tale.breaks(), ["J1 once"]);
-    let mut tale = good();
-    tale.put("job/k", r#"{"user":"u","steps":1,"step_ms":1}"#);
-    tale.seen.handed_in = 2;
-    assert_eq!(tale.breaks(), ["J2 none lost"]);
-    // Said to be done with a step missing.
-    let mut tale = good();
-    tale.seen.landings.pop();
-    assert_eq!(tale.breaks(), ["J2 none lost"]);
+fn repeated_step_and_lost_job_are_reported() {
+    let mut history = correct_history();
+    let token = history.revision as u64;
+    history.applies_step("site-0", "j", token, 1);
+    assert_eq!(history.broken_rules(), ["J1 once"]);
+    let mut history = correct_history();
+    history.put("job/k", r#"{"user":"u","steps":1,"step_ms":1}"#);
+    history.observed.submitted = 2;
+    assert_eq!(history.broken_rules(), ["J2 none lost"]);
+    // Reported done with a step missing.
+    let mut history = correct_history();
+    history.observed.landings.pop();
+    assert_eq!(history.broken_rules(), ["J2 none lost"]);
 }
 
 #[test]
-fn a_job_given_out_while_it_is_held() {
-    let mut tale = Tale::new();
-    let token = tale.gives("1", "j", 0xa);
-    tale.ends("1", "j", token);
-    assert!(tale.breaks().contains(&"J3 not while held"), "its site was there");
-    let mut tale = Tale::new();
-    let old = tale.gives("1", "j", 0xa);
-    tale.gone("site/a");
-    tale.ends("1", "j", old);
-    let new = tale.gives("1", "j", 0xb);
-    tale.lands("site-0", "j", old, 0);
-    tale.lands("site-1", "j", new, 1);
-    tale.done("j", new);
-    assert_eq!(tale.breaks(), ["J3 not while held"], "it works on after it was given out again");
+fn job_reassigned_while_it_is_held_is_reported() {
+    let mut history = History::new();
+    let token = history.assigns("1", "j", 0xa);
+    history.requeues("1", "j", token);
+    assert!(history.broken_rules().contains(&"J3 not while held"), "the site was still registered");
+    let mut history = History::new();
+    let old = history.assigns("1", "j", 0xa);
+    history.deletes("site/a");
+    history.requeues("1", "j", old);
+    let new = history.assigns("1", "j", 0xb);
+    history.applies_step("site-0", "j", old, 0);
+    history.applies_step("site-1", "j", new, 1);
+    history.completes("j", new);
+    assert_eq!(
+        history.broken_rules(),
+        ["J3 not while held"],
+        "the old site works on the job after its reassignment"
+    );
 }
 
 #[test]
-fn a_job_given_out_again_too_late_and_a_site_that_is_too_full() {
-    let mut tale = Tale::new();
-    let old = tale.gives("1", "j", 0xa);
-    tale.gone("site/a");
-    tale.ends("1", "j", old);
-    tale.at += 3 * SECOND;
-    let new = tale.gives("1", "j", 0xb);
-    tale.lands("site-1", "j", new, 0);
-    tale.lands("site-1", "j", new, 1);
-    tale.done("j", new);
-    assert_eq!(tale.breaks(), ["J4 again soon"]);
-    let mut tale = good();
-    tale.gives("1", "k", 0xb);
-    tale.gives("1", "l", 0xb);
-    assert_eq!(tale.breaks(), ["J5 room"]);
+fn late_reassignment_and_overfull_site_are_reported() {
+    let mut history = History::new();
+    let old = history.assigns("1", "j", 0xa);
+    history.deletes("site/a");
+    history.requeues("1", "j", old);
+    history.at += 3 * SECOND;
+    let new = history.assigns("1", "j", 0xb);
+    history.applies_step("site-1", "j", new, 0);
+    history.applies_step("site-1", "j", new, 1);
+    history.completes("j", new);
+    assert_eq!(history.broken_rules(), ["J4 again soon"]);
+    let mut history = correct_history();
+    history.assigns("1", "k", 0xb);
+    history.assigns("1", "l", 0xb);
+    assert_eq!(history.broken_rules(), ["J5 room"]);
 }
 
-/// J4 counts the wait for room as well, as a day that looks at it is to leave room; the verdict says how much of it that was.
+/// J4 includes the time for which all sites were full, as a day that checks J4 has to leave spare capacity; the verdict says
+/// how much of the delay that was.
 #[test]
-fn a_job_that_comes_late_is_told_with_how_long_no_site_had_room() {
-    let mut tale = Tale::new();
-    let old = tale.gives("1", "j", 0xa);
-    let other = tale.gives("1", "k", 0xb);
-    tale.gone("site/a");
-    tale.ends("1", "j", old);
-    tale.at += 2 * SECOND;
-    // From the loss to here the only site that is left was full: 2.2 s.
-    tale.done("k", other);
-    tale.at += SECOND;
-    tale.gives("1", "j", 0xb);
-    let verdict = judge(&day(), &tale.seen);
-    let told = verdict.report();
-    assert!(told.contains("j of site-0, lost at 0.90 s: 3.40 s, 2.20 s of them no site had room"), "{told}");
-    assert!(verdict.broken().contains(&"J4 again soon"), "{told}");
+fn late_reassignment_is_reported_with_the_time_all_sites_were_full() {
+    let mut history = History::new();
+    let old = history.assigns("1", "j", 0xa);
+    let other = history.assigns("1", "k", 0xb);
+    history.deletes("site/a");
+    history.requeues("1", "j", old);
+    history.at += 2 * SECOND;
+    // From the loss until here, 2.2 s, the only remaining site was full.
+    history.completes("k", other);
+    history.at += SECOND;
+    history.assigns("1", "j", 0xb);
+    let verdict = judge(&day(), &history.observed);
+    let report = verdict.report();
+    assert!(
+        report.contains("j of site-0, lost at 0.90 s: 3.40 s, all sites full for 2.20 s of that"),
+        "{report}"
+    );
+    assert!(verdict.broken().contains(&"J4 again soon"), "{report}");
 }
 
 #[test]
-fn uses_that_are_missing_wrong_or_counted_twice() {
-    let mut tale = good();
-    tale.seen.used.push(((99, "k".to_owned()), 7));
-    assert_eq!(tale.breaks(), ["S1 use"]);
-    let mut tale = good();
-    tale.seen.used[0].1 = 400;
-    assert_eq!(tale.breaks(), ["S1 use"]);
-    let mut tale = good();
-    let (token, mut known) = (tale.seen.used[0].0 .0, ledger());
+fn missing_wrong_and_doubly_folded_uses_are_reported() {
+    let mut history = correct_history();
+    history.observed.used.push(((99, "k".to_owned()), 7));
+    assert_eq!(history.broken_rules(), ["S1 use"]);
+    let mut history = correct_history();
+    history.observed.used[0].1 = 400;
+    assert_eq!(history.broken_rules(), ["S1 use"]);
+    let mut history = correct_history();
+    let (token, mut known) = (history.observed.used[0].0 .0, ledger());
     known.add("u", "", 500);
     known.epoch = 1;
-    tale.folds(&mut known, token, 500, 1);
-    assert_eq!(tale.breaks(), ["S1 use"]);
+    history.folds(&mut known, token, 500, 1);
+    assert_eq!(history.broken_rules(), ["S1 use"]);
 }
 
 #[test]
-fn rankings_that_differ_go_back_or_are_wrong() {
-    let mut tale = good();
-    tale.put("reach/1", r#"{"ranking":[1,20,"aa"]}"#);
-    tale.put("reach/2", r#"{"ranking":[1,20,"bb"]}"#);
-    assert_eq!(tale.breaks(), ["S2 one digest"]);
-    let mut tale = good();
-    tale.put("reach/1", r#"{"ranking":[1,20,"aa"]}"#);
-    tale.put("reach/1", r#"{"ranking":[1,19,"ab"]}"#);
-    assert_eq!(tale.breaks(), ["S2 one digest"]);
-    let mut tale = good();
-    tale.put(
+fn rankings_that_differ_go_back_or_are_wrong_are_reported() {
+    let mut history = correct_history();
+    history.put("reach/1", r#"{"ranking":[1,20,"aa"]}"#);
+    history.put("reach/2", r#"{"ranking":[1,20,"bb"]}"#);
+    assert_eq!(history.broken_rules(), ["S2 one digest"]);
+    let mut history = correct_history();
+    history.put("reach/1", r#"{"ranking":[1,20,"aa"]}"#);
+    history.put("reach/1", r#"{"ranking":[1,19,"ab"]}"#);
+    assert_eq!(history.broken_rules(), ["S2 one digest"]);
+    let mut history = correct_history();
+    history.put(
         "ranking",
-        &serde_json::to_string(&EpochRow { epoch: 1, ..EpochRow::default() }).expect("written"),
+        &serde_json::to_string(&EpochRow { epoch: 1, ..EpochRow::default() }).expect("serializable"),
     );
-    assert_eq!(tale.breaks(), ["S3 as reckoned"]);
+    assert_eq!(history.broken_rules(), ["S3 as reckoned"]);
 }
 
 #[test]
-fn a_job_that_waits_too_long() {
-    let mut tale = Tale::new();
-    tale.at += 6 * SECOND;
-    let token = tale.gives("1", "j", 0xa);
-    tale.lands("site-0", "j", token, 0);
-    tale.lands("site-0", "j", token, 1);
-    tale.done("j", token);
-    assert_eq!(tale.breaks(), ["J6 by rank"]);
+fn job_that_waits_too_long_is_reported() {
+    let mut history = History::new();
+    history.at += 6 * SECOND;
+    let token = history.assigns("1", "j", 0xa);
+    history.applies_step("site-0", "j", token, 0);
+    history.applies_step("site-0", "j", token, 1);
+    history.completes("j", token);
+    assert_eq!(history.broken_rules(), ["J6 by rank"]);
 }
--- a/crates/lab/src/work/judge/story.rs
+++ b/crates/lab/src/work/judge/timeline.rs
@@ -1,4 +1,4 @@
-//! The history of a day as the store has seen it, by what it is about.
+//! The changes at the store during a day, decoded and grouped by kind of key.
 
 use std::collections::BTreeMap;
 
@@ -15,44 +15,48 @@
     pub(super) revision: i64,
     pub(super) job: &'a str,
     pub(super) line: Option<Line>,
-    /// Whose hand wrote it: the life and the hand's name.
-    pub(super) by: Option<(&'a str, &'a str)>,
+    /// The incarnation and the executor that wrote it, by the witness key of the same transaction.
+    pub(super) writer: Option<(&'a str, &'a str)>,
 }
 
-pub(super) struct Story<'a> {
+/// All that the store recorded, decoded.
+pub(super) struct Timeline<'a> {
     pub(super) lines: Vec<LineChange<'a>>,
-    /// The owner's life, or nobody's, from each revision on.
+    /// Changes of the jobs duty's key: time, revision and the new leader's incarnation, or `None` where it was released.
     pub(super) claims: Vec<(Time, i64, Option<&'a str>)>,
-    /// Names of members by their lives in hex.
+    /// Names of members by their incarnations in hex.
     pub(super) members: BTreeMap<&'a str, String>,
-    /// Sites by their lives.
+    /// Sites by their incarnations.
     pub(super) sites: BTreeMap<u64, Site>,
     pub(super) jobs: BTreeMap<&'a str, Spec>,
     pub(super) outcomes: BTreeMap<&'a str, String>,
 }
 
+/// A site's incarnation.
 pub(super) struct Site {
     pub(super) name: String,
-    pub(super) room: usize,
-    /// From which revision on it was there, and when and at which revision it went; lives of ill agents come again.
-    pub(super) there: Vec<(i64, Option<(Time, i64)>)>,
+    pub(super) capacity: usize,
+    /// Periods in which its key existed: the first revision, then the time and the revision of its deletion. A faulty agent
+    /// may register the same incarnation again.
+    pub(super) present: Vec<(i64, Option<(Time, i64)>)>,
 }
 
 impl Site {
-    pub(super) fn is_there(&self, revision: i64) -> bool {
-        self.there.iter().any(|(from, gone)| *from <= revision && gone.is_none_or(|gone| gone.1 > revision))
+    pub(super) fn is_present(&self, revision: i64) -> bool {
+        self.present.iter().any(|(from, gone)| *from <= revision && gone.is_none_or(|gone| gone.1 > revision))
     }
 }
 
-pub(super) fn story(changes: &[Change]) -> Story<'_> {
+/// Decodes the changes; values that can't be decoded are left out.
+pub(super) fn timeline(changes: &[Change]) -> Timeline<'_> {
     let mut witness: BTreeMap<i64, (&str, &str)> = BTreeMap::new();
     for change in changes {
-        let hand = change.key.strip_prefix(PREFIX).and_then(|key| key.strip_prefix("witness/"));
-        if let Some(hand) = hand.and_then(|hand| hand.split_once('/')) {
-            witness.insert(change.revision, hand);
+        let executor = change.key.strip_prefix(PREFIX).and_then(|key| key.strip_prefix("witness/"));
+        if let Some(executor) = executor.and_then(|executor| executor.split_once('/')) {
+            witness.insert(change.revision, executor);
         }
     }
-    let mut story = Story {
+    let mut timeline = Timeline {
         lines: Vec::new(),
         claims: Vec::new(),
         members: BTreeMap::new(),
@@ -66,33 +70,37 @@
         };
         let value = change.value.as_deref();
         match kind {
-            "line" => story.lines.push(LineChange {
+            "line" => timeline.lines.push(LineChange {
                 at: change.at,
                 revision: change.revision,
                 job: id,
                 line: value.and_then(|text| serde_json::from_str(text).ok()),
-                by: witness.get(&change.revision).copied(),
+                writer: witness.get(&change.revision).copied(),
             }),
-            "duty" if id == "jobs" => story.claims.push((change.at, change.revision, value)),
+            "duty" if id == "jobs" => timeline.claims.push((change.at, change.revision, value)),
             "member" => {
                 let name = value.and_then(|text| serde_json::from_str::<serde_json::Value>(text).ok());
                 if let Some(name) = name.and_then(|value| Some(value["name"].as_str()?.to_owned())) {
-                    story.members.insert(id, name);
+                    timeline.members.insert(id, name);
                 }
             }
             "site" => {
-                let Ok(life) = u64::from_str_radix(id, 16) else { continue };
+                let Ok(incarnation) = u64::from_str_radix(id, 16) else { continue };
                 let row = value.and_then(|text| serde_json::from_str::<serde_json::Value>(text).ok());
                 match row {
                     Some(row) => {
                         let name = row["name"].as_str().unwrap_or_default().to_owned();
-                        let room = row["room"].as_u64().unwrap_or(0) as usize;
-                        let site = story.sites.entry(life).or_insert(Site { name, room, there: Vec::new() });
-                        site.there.push((change.revision, None));
+                        let capacity = row["room"].as_u64().unwrap_or(0) as usize;
+                        let site = timeline.sites.entry(incarnation).or_insert(Site {
+                            name,
+                            capacity,
+                            present: Vec::new(),
+                        });
+                        site.present.push((change.revision, None));
                     }
                     None => {
-                        let site = story.sites.get_mut(&life);
-                        if let Some((_, gone)) = site.and_then(|site| site.there.last_mut()) {
+                        let site = timeline.sites.get_mut(&incarnation);
+                        if let Some((_, gone)) = site.and_then(|site| site.present.last_mut()) {
                             *gone = Some((change.at, change.revision));
                         }
                     }
@@ -100,17 +108,17 @@
             }
             "job" => {
                 if let Some(spec) = value.and_then(|text| serde_json::from_str(text).ok()) {
-                    story.jobs.insert(id, spec);
+                    timeline.jobs.insert(id, spec);
                 }
             }
             "outcome" => {
                 let row = value.and_then(|text| serde_json::from_str::<serde_json::Value>(text).ok());
                 if let Some(ended) = row.and_then(|row| Some(row["ended"].as_str()?.to_owned())) {
-                    story.outcomes.insert(id, ended);
+                    timeline.outcomes.insert(id, ended);
                 }
             }
             _ => {}
         }
     }
-    story
+    timeline
 }
--- a/crates/lab/src/work/mod.rs
+++ b/crates/lab/src/work/mod.rs
@@ -1,11 +1,11 @@
-//! Days of work for the whole fleet: stewards and agents as processes, a store and a place where effects land, faults
-//! between any two of them, and a judge that goes by what the store and the effects show.
+//! Days with work for the whole fleet: stewards and site agents as processes, a store and an effects service, faults
+//! between any two of them, and a judge that relies only on what the store and the effects service recorded.
 
 mod day;
+mod faults;
 mod judge;
 mod measure;
 mod play;
-mod troubles;
 
 pub use day::WorkDay;
 pub use measure::measure;
--- a/crates/lab/src/work/play.rs
+++ b/crates/lab/src/work/play.rs
@@ -1,4 +1,5 @@
-//! Plays a day of work on real processes.
+//! Runs a day with work on real processes: stewards and site agents, with a stand-in store and effects service, all
+//! connected through the lab's proxies.
 
 use std::cell::{Cell, RefCell};
 use std::ffi::OsString;
@@ -17,26 +18,29 @@
 use tokio_util::codec::BytesCodec;
 
 use super::day::WorkDay;
-use super::judge::{judge, Seen};
+use super::judge::{judge, Observations};
 use crate::fleet::Verdict;
 use crate::processes::Process;
 use crate::stage::Fault;
 use crate::ways::{End, Streams, Way, Ways};
 
-/// How long the fleet may take to be there at the start: processes start beside whatever else the machine does.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// How long the fleet may take to start; generous because the machine may be busy with other work.
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(60);
 
+/// Prefix of all keys at the store.
 pub const PREFIX: &str = "/ravenspar/";
 
-/// What befell somebody, for the judge.
+/// A fault that was injected, for the judge.
 #[derive(Clone, Debug, serde::Serialize)]
-pub struct Befell {
+pub struct InjectedFault {
     pub at: Time,
     pub until: Time,
     pub what: String,
+    /// Names of the processes that it affects, as `steward-0` or `site-0`.
     pub who: Vec<String>,
 }
 
+/// The processes of a running day, the services they use and the proxies between them.
 pub struct Fleet {
     pub day: WorkDay,
     pub dir: PathBuf,
@@ -45,22 +49,25 @@
     pub effects: Effects,
     pub stewards: RefCell<Vec<Option<Process>>>,
     pub sites: RefCell<Vec<Option<Process>>>,
-    pub befell: RefCell<Vec<Befell>>,
-    pub chance: RefCell<fastrand::Rng>,
-    /// Where each steward takes agents; none while it is none.
-    targets: Vec<Rc<Cell<Option<SocketAddr>>>>,
-    /// Each steward's way to the store, each site's to each steward, each site's to where effects land.
-    pipes: Vec<Rc<Streams>>,
-    relays: Vec<Vec<Rc<Streams>>>,
-    landing: Vec<Rc<Streams>>,
+    pub injected: RefCell<Vec<InjectedFault>>,
+    pub rng: RefCell<fastrand::Rng>,
+    /// Address at which each steward accepts agents; `None` before its first start.
+    agent_listeners: Vec<Rc<Cell<Option<SocketAddr>>>>,
+    /// Between each steward and the store.
+    store_proxies: Vec<Rc<Streams>>,
+    /// Between each site's agent and each steward, by site and steward.
+    agent_proxies: Vec<Vec<Rc<Streams>>>,
+    /// Between each site's agent and the effects service.
+    effects_proxies: Vec<Rc<Streams>>,
+    /// How often each steward was started.
     starts: RefCell<Vec<usize>>,
-    /// Bytes that crossed between stewards and the store, and between agents and stewards.
-    pub crossed: [Rc<Cell<u64>>; 2],
-    /// Processes that stand still by a trouble and are to be continued at the end of it.
-    pub handed_in: Cell<usize>,
+    /// Bytes relayed between stewards and the store, and between agents and stewards.
+    pub bytes_relayed: [Rc<Cell<u64>>; 2],
+    /// Number of jobs submitted so far.
+    pub submitted: Cell<usize>,
 }
 
-/// Plays the day and judges it. `dir` takes settings, logs and what was seen.
+/// Runs the day and judges it. Settings, logs and observations are written to `dir`.
 pub async fn play(day: WorkDay, dir: &Path) -> Result<Verdict, Fault> {
     ravenspar::print_line(&day.about);
     let fleet = Fleet::open(day, dir).await?;
@@ -70,36 +77,37 @@
     for n in 0..fleet.day.work.sites {
         fleet.start_site(n).await?;
     }
-    let tending = spawn_local(fleet.clone().tend());
-    fleet.gets_there().await?;
+    let supervising = spawn_local(fleet.clone().restart_halted());
+    fleet.wait_until_ready().await?;
     let began = fleet.store.now();
-    let handing = spawn_local(fleet.clone().hand_in());
-    let last = fleet.clone().troubles(began).await?;
-    handing.await.map_err(|e| Fault::Failed(e.to_string()))?;
+    let submitting = spawn_local(fleet.clone().submit_jobs());
+    let last = fleet.clone().inject_scheduled(began).await?;
+    submitting.await.map_err(|e| Fault::Failed(e.to_string()))?;
     let last = last.max(fleet.store.now());
-    let until = last + fleet.day.judge.over_within.0;
-    while !(fleet.all_over() && fleet.all_counted()) && fleet.store.now() < until {
+    let until = last + fleet.day.judge.finished_within.0;
+    while !(fleet.all_finished() && fleet.all_uses_folded()) && fleet.store.now() < until {
         sleep(Duration::from_millis(20)).await;
     }
-    tending.abort();
+    supervising.abort();
     let ended = fleet.store.now();
-    // What comes late is seen too.
+    // Leaves time to observe late calls.
     sleep(duration(SECOND)).await;
-    let seen = Seen {
+    let observed = Observations {
         began,
         ended,
-        last,
+        last_input: last,
         changes: fleet.store.changes(),
         used: fleet.used(),
         landings: fleet.effects.landings(),
-        befell: fleet.befell.borrow().clone(),
-        handed_in: fleet.handed_in.get(),
+        injected: fleet.injected.borrow().clone(),
+        submitted: fleet.submitted.get(),
     };
-    std::fs::write(dir.join("seen.json"), serde_json::to_vec(&seen).map_err(std::io::Error::from)?)?;
-    Ok(judge(&fleet.day, &seen))
+    std::fs::write(dir.join("seen.json"), serde_json::to_vec(&observed).map_err(std::io::Error::from)?)?;
+    Ok(judge(&fleet.day, &observed))
 }
 
 impl Fleet {
+    /// Starts the store, the effects service and the proxies, but no process yet.
     pub async fn open(day: WorkDay, dir: &Path) -> Result<Rc<Fleet>, Fault> {
         std::fs::write(
             dir.join("servers.yaml"),
@@ -108,62 +116,64 @@
         let ways = Ways::new(day.seed, Way::default());
         let store = Store::new(day.seed | 1);
         let clock = store.clone();
-        let effects = Effects::new(100_000, day.work.effects_forget, move || clock.now());
+        let effects = Effects::new(100_000, day.work.effects_without_memory, move || clock.now());
         let store_at = Rc::new(Cell::new(Some(store.listen().await?)));
         let effects_at = Rc::new(Cell::new(Some(effects.listen().await?)));
-        let targets: Vec<_> = (0..day.work.stewards).map(|_| Rc::new(Cell::new(None))).collect();
-        let crossed: [Rc<Cell<u64>>; 2] = Default::default();
-        let counts = |of: usize| {
-            let count = crossed[of].clone();
-            Rc::new(move |_, seen: crate::ways::Seen| {
-                if let crate::ways::Seen::Piece { bytes, .. } = seen {
+        let agent_listeners: Vec<_> = (0..day.work.stewards).map(|_| Rc::new(Cell::new(None))).collect();
+        let bytes_relayed: [Rc<Cell<u64>>; 2] = Default::default();
+        let byte_counter = |kind: usize| {
+            let count = bytes_relayed[kind].clone();
+            Rc::new(move |_, event: crate::ways::Seen| {
+                if let crate::ways::Seen::Piece { bytes, .. } = event {
                     count.set(count.get() + bytes.len() as u64);
                 }
             })
         };
-        let (mut pipes, mut relays, mut landing) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut store_proxies, mut agent_proxies, mut effects_proxies) =
+            (Vec::new(), Vec::new(), Vec::new());
         for n in 0..day.work.stewards {
             let ends = (End::Steward(n), End::Store);
-            let watch = counts(0);
-            pipes.push(Streams::listen(&ways, ends, store_at.clone(), BytesCodec::new, watch).await?);
+            let watch = byte_counter(0);
+            store_proxies.push(Streams::listen(&ways, ends, store_at.clone(), BytesCodec::new, watch).await?);
         }
         for m in 0..day.work.sites {
             let mut own = Vec::new();
-            for (n, target) in targets.iter().enumerate() {
+            for (n, target) in agent_listeners.iter().enumerate() {
                 let ends = (End::Agent(m), End::Steward(n));
-                let watch = counts(1);
+                let watch = byte_counter(1);
                 own.push(Streams::listen(&ways, ends, target.clone(), || codec(MOST_DOWN), watch).await?);
             }
-            relays.push(own);
+            agent_proxies.push(own);
             let ends = (End::Agent(m), End::Effects);
             let watch = Rc::new(|_, _: crate::ways::Seen| ());
-            landing.push(
+            effects_proxies.push(
                 Streams::listen(&ways, ends, effects_at.clone(), || codec(effects::MOST), watch).await?,
             );
         }
         Ok(Rc::new(Fleet {
             stewards: RefCell::new((0..day.work.stewards).map(|_| None).collect()),
             sites: RefCell::new((0..day.work.sites).map(|_| None).collect()),
-            crossed,
+            bytes_relayed,
             starts: RefCell::new(vec![0; day.work.stewards]),
-            befell: RefCell::default(),
-            chance: RefCell::new(fastrand::Rng::with_seed(day.seed)),
-            handed_in: Cell::new(0),
+            injected: RefCell::default(),
+            rng: RefCell::new(fastrand::Rng::with_seed(day.seed)),
+            submitted: Cell::new(0),
             day,
             dir: dir.to_owned(),
             ways,
             store,
             effects,
-            targets,
-            pipes,
-            relays,
-            landing,
+            agent_listeners,
+            store_proxies,
+            agent_proxies,
+            effects_proxies,
         }))
     }
 
+    /// Writes the steward's settings and starts its process.
     pub async fn start_steward(&self, n: usize) -> Result<(), Fault> {
         let work = &self.day.work;
-        let seconds = |span: crate::day::Span| format!("{}ms", span.0 / 10);
+        let millis = |span: crate::day::Span| format!("{}ms", span.0 / 10);
         let settings = format!(
             "listen: 127.0.0.1:0\nrecord: steward-{n}.redb\nlist: {{path: servers.yaml}}\nforwarders: 1\nslices: 4\n\
              lease: 1s\nsettle: 1s\nhold: 500ms\nunserved_most: 10s\nsilent_after: 1s\n\
@@ -175,19 +185,19 @@
              share: {{name: steward-{n}, endpoints: [\"http://{}\"], member_lease: {}s, call_within: 500ms}}\n\
              jobs: {{listen: 127.0.0.1:0, lease: {}s, cold: {}, again: {}, most_gone: {}, attempts: {}}}\n",
             work.stewards,
-            self.pipes[n].address,
+            self.store_proxies[n].address,
             work.member_lease.0 / SECOND,
             work.site_lease.0 / SECOND,
-            seconds(work.cold),
-            seconds(work.again),
-            seconds(work.most_gone),
-            work.attempts,
+            millis(work.cold_period),
+            millis(work.retry_delay),
+            millis(work.mass_loss_delay),
+            work.max_attempts,
         );
         let debts = work.debts.as_ref().map_or(String::new(), |debts| {
             let users: Vec<String> = debts.users.iter().map(|user| format!("\"{user}\"")).collect();
             let users =
                 if users.is_empty() { String::new() } else { format!(", users: [{}]", users.join(", ")) };
-            let (half_life, epoch) = (seconds(debts.half_life), seconds(debts.epoch));
+            let (half_life, epoch) = (millis(debts.half_life), millis(debts.epoch));
             format!("debts: {{half_life: {half_life}, epoch: {epoch}{users}}}\n")
         });
         let path = self.dir.join(format!("steward-{n}.yaml"));
@@ -202,70 +212,76 @@
             }
         }
         let start = self.starts.borrow()[n] as i64 + 1;
-        if let Some(off) = work.clocks.get(n) {
+        if let Some(off) = work.clock_offsets_s.get(n) {
             args.extend(["--clock-off".into(), (off * start).to_string().into()]);
         }
         self.starts.borrow_mut()[n] += 1;
         let mut process = Process::start(args, &self.dir.join(format!("steward-{n}.log"))).await?;
-        self.targets[n].set(Some(process.agents().await?));
+        self.agent_listeners[n].set(Some(process.agents().await?));
         self.stewards.borrow_mut()[n] = Some(process);
         Ok(())
     }
 
+    /// Starts the process of a site's agent.
     pub async fn start_site(&self, m: usize) -> Result<(), Fault> {
         let work = &self.day.work;
         let mut args: Vec<OsString> = vec!["agent".into()];
         let dir = self.dir.join(format!("site-{m}"));
-        let mut add = |flag: &str, value: OsString| args.extend([flag.into(), value]);
-        add("--name", format!("site-{m}").into());
-        add("--dir", dir.into_os_string());
-        add("--effects", self.landing[m].address.to_string().into());
-        add("--room", work.room.to_string().into());
-        add("--lease-ms", (work.site_lease.0 / 10).to_string().into());
-        add("--seed", (self.day.seed.wrapping_mul(131) + m as u64).to_string().into());
-        for relay in &self.relays[m] {
-            add("--steward", relay.address.to_string().into());
+        let mut option = |flag: &str, value: OsString| args.extend([flag.into(), value]);
+        option("--name", format!("site-{m}").into());
+        option("--dir", dir.into_os_string());
+        option("--effects", self.effects_proxies[m].address.to_string().into());
+        option("--room", work.capacity.to_string().into());
+        option("--lease-ms", (work.site_lease.0 / 10).to_string().into());
+        option("--seed", (self.day.seed.wrapping_mul(131) + m as u64).to_string().into());
+        for proxy in &self.agent_proxies[m] {
+            option("--steward", proxy.address.to_string().into());
         }
         if let Some((_, call)) = work.pause_site.filter(|(site, _)| *site == m) {
             args.extend(["--pause-at".into(), call.to_string().into()]);
         }
-        let ill = [
+        let flags = [
             ("--ignores-lease", &work.ignores_lease),
-            ("--forgets", &work.forgets),
-            ("--doubles", &work.doubles),
+            ("--forgets", &work.forgets_outcomes),
+            ("--doubles", &work.repeats_uses),
         ];
-        ill.iter().filter(|(_, who)| who.contains(&m)).for_each(|(flag, _)| args.push((*flag).into()));
+        flags.iter().filter(|(_, sites)| sites.contains(&m)).for_each(|(flag, _)| args.push((*flag).into()));
         let process = Process::start(args, &self.dir.join(format!("site-{m}.log"))).await?;
         self.sites.borrow_mut()[m] = Some(process);
         Ok(())
     }
 
-    /// Starts stewards again that died at the day's point, and continues those that stopped themselves there.
-    async fn tend(self: Rc<Fleet>) {
-        /// Between death and start.
-        const BACK: Time = SECOND;
+    /// Restarts stewards that died at the day's halt point and continues those that stopped themselves at its pause point.
+    async fn restart_halted(self: Rc<Fleet>) {
+        /// Time between a steward's death and its restart.
+        const RESTART_DELAY: Time = SECOND;
         let halted = self.day.work.halt.is_some() || self.day.work.pause.is_some();
         if let Some((m, _)) = self.day.work.pause_site {
-            spawn_local(self.clone().tend_site(m));
+            spawn_local(self.clone().resume_paused_site(m));
         }
-        let mut met = vec![false; self.day.work.stewards];
-        while halted && met.iter().any(|met| !met) {
+        let mut handled = vec![false; self.day.work.stewards];
+        while halted && handled.iter().any(|handled| !handled) {
             sleep(Duration::from_millis(5)).await;
-            for (n, met) in met.iter_mut().enumerate().filter(|(_, met)| !**met) {
+            for (n, handled) in handled.iter_mut().enumerate().filter(|(_, handled)| !**handled) {
                 let (ended, stopped) = {
                     let mut stewards = self.stewards.borrow_mut();
                     let Some(process) = &mut stewards[n] else { continue };
                     (process.ended(), process.is_stopped())
                 };
                 let (what, lasts) = match (ended, stopped) {
-                    (true, _) => ("killed", BACK),
+                    (true, _) => ("killed", RESTART_DELAY),
                     (_, true) => ("stopped", self.day.work.pause_for.0),
                     _ => continue,
                 };
-                *met = true;
+                *handled = true;
                 let at = self.store.now();
                 let who = vec![format!("steward-{n}")];
-                self.befell.borrow_mut().push(Befell { at, until: at + lasts, what: what.to_owned(), who });
+                self.injected.borrow_mut().push(InjectedFault {
+                    at,
+                    until: at + lasts,
+                    what: what.to_owned(),
+                    who,
+                });
                 let fleet = self.clone();
                 spawn_local(async move {
                     sleep(duration(lasts)).await;
@@ -282,8 +298,8 @@
         }
     }
 
-    /// Continues a site's agent that has stopped itself.
-    async fn tend_site(self: Rc<Fleet>, m: usize) {
+    /// Continues the agent of `pause_site` some time after it has stopped itself.
+    async fn resume_paused_site(self: Rc<Fleet>, m: usize) {
         let stopped =
             || self.sites.borrow()[m].as_ref().filter(|site| site.is_stopped()).and_then(Process::id);
         let id = loop {
@@ -294,44 +310,51 @@
         };
         let (at, lasts) = (self.store.now(), self.day.work.pause_for.0);
         let who = vec![format!("site-{m}")];
-        self.befell.borrow_mut().push(Befell { at, until: at + lasts, what: "stopped".to_owned(), who });
+        self.injected.borrow_mut().push(InjectedFault {
+            at,
+            until: at + lasts,
+            what: "stopped".to_owned(),
+            who,
+        });
         sleep(duration(lasts)).await;
         crate::processes::send(id, "CONT").await;
     }
 
-    /// Waits until all are members, there is an owner, and all sites are at the store.
-    pub async fn gets_there(&self) -> Result<(), Fault> {
+    /// Waits until the fleet is ready, up to [`STARTUP_TIMEOUT`].
+    pub async fn wait_until_ready(&self) -> Result<(), Fault> {
         let began = std::time::Instant::now();
-        while !self.is_there() {
-            if began.elapsed() > PATIENCE {
-                return Err(Fault::Failed("the fleet did not get there, see its logs".to_owned()));
+        while !self.is_ready() {
+            if began.elapsed() > STARTUP_TIMEOUT {
+                return Err(Fault::Failed(
+                    "the fleet did not become ready in time, see the logs of its processes".to_owned(),
+                ));
             }
             sleep(Duration::from_millis(20)).await;
         }
         Ok(())
     }
 
-    /// All are members, there is an owner, and all sites are at the store.
-    pub fn is_there(&self) -> bool {
+    /// Returns true if all stewards are members, the jobs duty has a leader and all sites are registered at the store.
+    pub fn is_ready(&self) -> bool {
         let changes = self.store.changes();
         let count = |kind: &str| {
-            let mut there = std::collections::BTreeSet::new();
+            let mut present = std::collections::BTreeSet::new();
             let prefix = format!("{PREFIX}{kind}/");
             for change in changes.iter().filter(|change| change.key.starts_with(&prefix)) {
                 match change.value {
-                    Some(_) => there.insert(&change.key),
-                    None => there.remove(&change.key),
+                    Some(_) => present.insert(&change.key),
+                    None => present.remove(&change.key),
                 };
             }
-            there.len()
+            present.len()
         };
         count("member") == self.day.work.stewards
             && count("site") == self.day.work.sites
             && count("duty") >= 1
     }
 
-    /// Hands all jobs in, each in its time.
-    pub async fn hand_in(self: Rc<Fleet>) {
+    /// Submits all jobs, each when it is due.
+    pub async fn submit_jobs(self: Rc<Fleet>) {
         let began = self.store.now();
         let mut all: Vec<(Time, String, String)> = Vec::new();
         for (k, jobs) in self.day.work.jobs.iter().enumerate() {
@@ -353,11 +376,11 @@
         for (at, id, text) in all {
             sleep(duration((began + at - self.store.now()).max(0))).await;
             self.store.put_key(&format!("{PREFIX}job/{id}"), &text);
-            self.handed_in.set(self.handed_in.get() + 1);
+            self.submitted.set(self.submitted.get() + 1);
         }
     }
 
-    /// What sites have used under each token, by what they keep: they are where it was used.
+    /// The uses of each token, read from the files of the agents: they are the source of this data.
     fn used(&self) -> Vec<((u64, String), Time)> {
         let mut used = Vec::new();
         for m in 0..self.day.work.sites {
@@ -373,19 +396,20 @@
         used
     }
 
-    pub fn all_over(&self) -> bool {
+    /// Returns true if every job submitted so far has an outcome.
+    pub fn all_finished(&self) -> bool {
         let prefix = format!("{PREFIX}outcome/");
         let changes = self.store.changes();
-        let over: std::collections::BTreeSet<&str> = changes
+        let finished: std::collections::BTreeSet<&str> = changes
             .iter()
             .filter(|change| change.value.is_some())
             .filter_map(|change| change.key.strip_prefix(&prefix))
             .collect();
-        over.len() >= self.handed_in.get()
+        finished.len() >= self.submitted.get()
     }
 
-    /// All that sites keep of what they used is folded, where there is the duty of debts.
-    fn all_counted(&self) -> bool {
+    /// Returns true if every use that the agents recorded is folded into the debts, or if there is no debts duty.
+    fn all_uses_folded(&self) -> bool {
         if self.day.work.debts.is_none() {
             return true;
         }
@@ -395,16 +419,16 @@
         })
     }
 
-    /// The steward that the store says is owner.
-    pub fn owner(&self) -> Option<usize> {
-        let (life, _) = self.store.get(format!("{PREFIX}duty/jobs").as_bytes())?;
-        let life = String::from_utf8(life).ok()?;
-        let (member, _) = self.store.get(format!("{PREFIX}member/{life}").as_bytes())?;
+    /// The leader of the jobs duty according to the store.
+    pub fn leader(&self) -> Option<usize> {
+        let (incarnation, _) = self.store.get(format!("{PREFIX}duty/jobs").as_bytes())?;
+        let incarnation = String::from_utf8(incarnation).ok()?;
+        let (member, _) = self.store.get(format!("{PREFIX}member/{incarnation}").as_bytes())?;
         let member: serde_json::Value = serde_json::from_slice(&member).ok()?;
         member["name"].as_str()?.strip_prefix("steward-")?.parse().ok()
     }
 
-    /// The site that holds the first job that anybody holds.
+    /// The site that holds the first leased job, by job id.
     pub fn holder(&self) -> Option<usize> {
         let prefix = format!("{PREFIX}line/");
         let mut lines = std::collections::BTreeMap::new();
@@ -415,8 +439,8 @@
         }
         lines.into_values().flatten().find_map(|line| {
             let line: ravenspar_jobs::Line = serde_json::from_str(&line).ok()?;
-            let life = line.site()?;
-            let (site, _) = self.store.get(format!("{PREFIX}site/{life:016x}").as_bytes())?;
+            let incarnation = line.site()?;
+            let (site, _) = self.store.get(format!("{PREFIX}site/{incarnation:016x}").as_bytes())?;
             let site: serde_json::Value = serde_json::from_slice(&site).ok()?;
             site["name"].as_str()?.strip_prefix("site-")?.parse().ok()
         })
