--- a/crates/lab/src/fleet/judge.rs
+++ b/crates/lab/src/fleet/judge.rs
@@ -1,77 +1,85 @@
-//! The rules of the view, from what crossed between the processes and what each showed.
+//! Rules V1 to V5: judge the view by the datagrams between the stewards and the view that each showed.
 
 use std::collections::BTreeMap;
 
 use super::day::FleetDay;
-use crate::ways::Crossed;
+use crate::ways::SentDatagram;
 
-/// What a steward showed at a moment.
+/// The view that a steward showed at one time.
 #[derive(Clone, Debug)]
-pub struct Look {
+pub struct ViewSample {
     /// Milliseconds since the start of the day.
     pub at: u64,
+    /// The steward's number.
     pub of: usize,
-    /// Which start of it.
+    /// How often the steward had been started.
     pub start: u64,
     pub digest: u64,
     pub settled: bool,
     pub cut_off: bool,
-    /// Names in its view, and those that it holds for gone, with their lives.
+    /// Names of the members in its view, with their incarnations.
     pub shown: BTreeMap<String, u64>,
-    pub lost: BTreeMap<String, u64>,
+    /// Names of the members that it considers gone, with their incarnations.
+    pub gone: BTreeMap<String, u64>,
 }
 
-/// A moment at which the fleet has to have settled: the parts that reach each other, of stewards that run.
+/// A time at which the fleet has to have settled.
 #[derive(Clone, Debug)]
 pub struct Checkpoint {
     pub at: u64,
-    /// When the last fault before began or ended.
+    /// When the last fault before it began or ended.
     pub since: u64,
-    pub parts: Vec<Vec<usize>>,
+    /// The running stewards, grouped by which reach each other.
+    pub reachable_groups: Vec<Vec<usize>>,
 }
 
+/// The judge's result for each rule.
 #[derive(Debug, Default)]
 pub struct Verdict {
-    /// For each rule what it comes to, and the first breaks of it.
+    /// For each rule its name, a summary of what was measured, and its violations.
     rules: Vec<(&'static str, String, Vec<String>)>,
-    /// The worst wait of each process for a core, told where a rule is broken. It changes no verdict.
+    /// The longest wait of each process for a CPU core, reported if a rule is broken. It doesn't change the verdict.
     waits: Vec<String>,
 }
 
 impl Verdict {
-    /// For each rule what it comes to, and its breaks.
+    /// Takes for each rule its name, a summary of what was measured, and its violations.
     pub fn of(rules: Vec<(&'static str, String, Vec<String>)>) -> Verdict {
         Verdict { rules, waits: Vec::new() }
     }
 
-    /// Of a fleet that did not find together at the start.
-    pub fn never_one(looks: &[Look]) -> Verdict {
-        let last: BTreeMap<usize, &Look> = looks.iter().map(|look| (look.of, look)).collect();
-        let shows =
-            |look: &&Look| format!("steward-{} shows {:?}", look.of, look.shown.keys().collect::<Vec<_>>());
-        let breaks = last.values().map(shows).chain(["no faults were played".to_owned()]).collect();
+    /// The verdict on a fleet that didn't converge at the start.
+    pub fn never_converged(samples: &[ViewSample]) -> Verdict {
+        let last: BTreeMap<usize, &ViewSample> = samples.iter().map(|sample| (sample.of, sample)).collect();
+        let shows = |sample: &&ViewSample| {
+            format!("steward-{} shows {:?}", sample.of, sample.shown.keys().collect::<Vec<_>>())
+        };
+        let breaks = last.values().map(shows).chain(["no faults were injected".to_owned()]).collect();
         Verdict::of(vec![("V1 settles", "at the start".to_owned(), breaks)])
     }
 
+    /// Adds the longest waits for a CPU core.
     pub fn with_waits(self, waits: Vec<String>) -> Verdict {
         Verdict { waits, ..self }
     }
 
-    /// Names of the rules that are broken.
+    /// Returns the names of the broken rules.
     #[cfg(test)]
     pub fn broken(&self) -> Vec<&'static str> {
         self.rules.iter().filter(|(_, _, breaks)| !breaks.is_empty()).map(|(rule, ..)| *rule).collect()
     }
 
+    /// Returns true if no rule is broken.
     pub fn kept(&self) -> bool {
         self.rules.iter().all(|(_, _, breaks)| breaks.is_empty())
     }
 
+    /// The verdict as text, with the first violations of each rule.
     pub fn report(&self) -> String {
         let mut text = String::new();
         for (rule, figure, breaks) in &self.rules {
-            let word = if breaks.is_empty() { "kept" } else { "BROKEN" };
-            text.push_str(&format!("{rule}: {word}, {figure}\n"));
+            let result = if breaks.is_empty() { "kept" } else { "BROKEN" };
+            text.push_str(&format!("{rule}: {result}, {figure}\n"));
             breaks.iter().take(5).for_each(|what| text.push_str(&format!("    {what}\n")));
         }
         if !self.kept() {
@@ -85,56 +93,63 @@
     format!("steward-{n}")
 }
 
+/// Checks all rules. `settled` and `ended` are in milliseconds since the start of the day.
 pub fn judge(
     day: &FleetDay,
-    looks: &[Look],
-    crossed: &[Crossed],
+    samples: &[ViewSample],
+    datagrams_sent: &[SentDatagram],
     checkpoints: &[Checkpoint],
     settled: u64,
     ended: u64,
 ) -> Verdict {
     let mut verdict = Verdict::default();
-    let untouched = day.untouched();
+    let unaffected = day.unaffected();
     let seconds = |ms: u64| ms as f64 / 1_000.0;
 
-    // V1: one view, the truth, at all that reach each other.
+    // V1: all stewards that reach each other show the same view, and it is right.
     let mut breaks = Vec::new();
-    let mut parts = 0;
+    let mut groups = 0;
     let mut times: Vec<f64> = Vec::new();
     for check in checkpoints {
-        for part in &check.parts {
-            let firm: Vec<usize> = part.iter().copied().filter(|n| !day.judge.loose.contains(n)).collect();
-            // The newest look that had begun by then, or the next.
+        for group in &check.reachable_groups {
+            let expected: Vec<usize> =
+                group.iter().copied().filter(|n| !day.judge.unreliable_members.contains(n)).collect();
+            // The sample nearest to the checkpoint.
             let of = |n: usize| {
-                let near = looks.iter().filter(|look| look.of == n);
-                near.min_by_key(|look| (look.at.abs_diff(check.at), look.at))
+                let near = samples.iter().filter(|sample| sample.of == n);
+                near.min_by_key(|sample| (sample.at.abs_diff(check.at), sample.at))
             };
-            let seen: Vec<(usize, Option<&Look>)> = firm.iter().map(|&n| (n, of(n))).collect();
-            parts += 1;
-            let loose = |shown: &str| day.judge.loose.iter().any(|&n| name(n) == shown);
+            let seen: Vec<(usize, Option<&ViewSample>)> = expected.iter().map(|&n| (n, of(n))).collect();
+            groups += 1;
+            let is_unreliable = |shown: &str| day.judge.unreliable_members.iter().any(|&n| name(n) == shown);
             let truth: Vec<String> = {
-                let mut truth: Vec<String> = firm.iter().map(|&n| name(n)).collect();
+                let mut truth: Vec<String> = expected.iter().map(|&n| name(n)).collect();
                 truth.sort();
                 truth
             };
-            let names = |look: &Look| -> Vec<String> {
-                look.shown.keys().filter(|shown| !loose(shown)).cloned().collect()
+            let names = |sample: &ViewSample| -> Vec<String> {
+                sample.shown.keys().filter(|shown| !is_unreliable(shown)).cloned().collect()
             };
-            // Until the last look of any of them at which it showed something else.
-            let within =
-                |look: &&Look| look.at >= check.since && look.at <= check.at && firm.contains(&look.of);
-            let late =
-                looks.iter().filter(within).filter(|look| names(look) != truth).map(|look| look.at).max();
-            if let Some(late) = late.filter(|_| firm.len() > 1) {
+            // Settling took until the last sample of any of them that showed something else.
+            let within = |sample: &&ViewSample| {
+                sample.at >= check.since && sample.at <= check.at && expected.contains(&sample.of)
+            };
+            let late = samples
+                .iter()
+                .filter(within)
+                .filter(|sample| names(sample) != truth)
+                .map(|sample| sample.at)
+                .max();
+            if let Some(late) = late.filter(|_| expected.len() > 1) {
                 times.push(seconds(late - check.since));
             }
-            for (n, look) in &seen {
-                let Some(look) = look.filter(|look| look.at.abs_diff(check.at) < 5_000) else {
-                    breaks.push(format!("{:.1} s: steward-{n} showed nothing", seconds(check.at)));
+            for (n, sample) in &seen {
+                let Some(sample) = sample.filter(|sample| sample.at.abs_diff(check.at) < 5_000) else {
+                    breaks.push(format!("{:.1} s: steward-{n} has no sample", seconds(check.at)));
                     continue;
                 };
-                let shown = names(look);
-                let alone = firm.len() == 1 && look.cut_off;
+                let shown = names(sample);
+                let alone = expected.len() == 1 && sample.cut_off;
                 if shown != truth && !alone {
                     breaks.push(format!(
                         "{:.1} s: steward-{n} shows {shown:?}, not {truth:?}",
@@ -142,117 +157,133 @@
                     ));
                 }
             }
-            let views: Vec<&Look> = seen.iter().filter_map(|(_, look)| *look).collect();
-            if day.judge.loose.is_empty() && views.iter().any(|look| look.digest != views[0].digest) {
-                breaks.push(format!("{:.1} s: {part:?} show different views", seconds(check.at)));
+            let views: Vec<&ViewSample> = seen.iter().filter_map(|(_, sample)| *sample).collect();
+            if day.judge.unreliable_members.is_empty()
+                && views.iter().any(|sample| sample.digest != views[0].digest)
+            {
+                breaks.push(format!("{:.1} s: {group:?} show different views", seconds(check.at)));
             }
         }
     }
     let within = seconds(day.judge.settles_within.0 as u64 / 10);
     let worst = times.iter().copied().fold(0.0, f64::max);
     let figure = format!(
-        "{} moments, {parts} parts, {within} s after the last fault before; the slowest took {worst:.1} s",
+        "{} checkpoints, {groups} groups, {within} s after the last fault; the slowest took {worst:.1} s",
         checkpoints.len()
     );
     verdict.rules.push(("V1 settles", figure, breaks));
 
-    // V2: whom nothing befell stays, as the same life, with all whom nothing befell.
+    // V2: stewards without a fault keep each other in their views, with the same incarnation.
     let mut breaks = Vec::new();
     let mut first: BTreeMap<(usize, String), u64> = BTreeMap::new();
-    for look in looks.iter().filter(|look| look.at >= settled && untouched.contains(&look.of)) {
-        for &other in &untouched {
-            let Some(life) = look.shown.get(&name(other)) else {
+    for sample in samples.iter().filter(|sample| sample.at >= settled && unaffected.contains(&sample.of)) {
+        for &other in &unaffected {
+            let Some(incarnation) = sample.shown.get(&name(other)) else {
                 breaks.push(format!(
                     "{:.1} s: steward-{} dropped steward-{other}",
-                    seconds(look.at),
-                    look.of
+                    seconds(sample.at),
+                    sample.of
                 ));
                 continue;
             };
-            let known = *first.entry((look.of, name(other))).or_insert(*life);
-            if known != *life {
-                breaks.push(format!("{:.1} s: steward-{other} had to take another life", seconds(look.at)));
+            let known = *first.entry((sample.of, name(other))).or_insert(*incarnation);
+            if known != *incarnation {
+                breaks.push(format!(
+                    "{:.1} s: steward-{other} had to take another incarnation",
+                    seconds(sample.at)
+                ));
             }
         }
     }
     verdict.rules.push((
         "V2 no false drop",
-        format!("{} stewards that nothing befell", untouched.len()),
+        format!("{} stewards without a fault", unaffected.len()),
         breaks,
     ));
 
-    // V3: no more changes than the faults need.
+    // V3: views change no more often than the faults require.
     let mut breaks = Vec::new();
     let mut most = 0;
-    // Where something befell all, those that ran from the start to the end in one process.
+    // If faults affected all stewards, those that were never restarted are judged.
     let ran = |n: &usize| {
-        let loose = day.judge.loose.contains(n) || day.fleet.later.contains(n);
-        !loose && looks.iter().filter(|look| look.of == *n).all(|look| look.start == 1)
+        let unreliable = day.judge.unreliable_members.contains(n) || day.fleet.started_later.contains(n);
+        !unreliable && samples.iter().filter(|sample| sample.of == *n).all(|sample| sample.start == 1)
     };
-    let judged: Vec<usize> = match untouched.is_empty() {
+    let judged: Vec<usize> = match unaffected.is_empty() {
         true => (0..day.fleet.stewards).filter(ran).collect(),
-        false => untouched.clone(),
+        false => unaffected.clone(),
     };
     for &n in &judged {
-        let mut digests: Vec<u64> =
-            looks.iter().filter(|look| look.of == n && look.at >= settled).map(|look| look.digest).collect();
+        let mut digests: Vec<u64> = samples
+            .iter()
+            .filter(|sample| sample.of == n && sample.at >= settled)
+            .map(|sample| sample.digest)
+            .collect();
         digests.dedup();
         let changes = digests.len().saturating_sub(1) as u64;
         most = most.max(changes);
-        if changes > day.judge.changes_most {
+        if changes > day.judge.max_changes {
             breaks.push(format!("steward-{n} showed {changes} changes"));
         }
     }
     verdict.rules.push((
         "V3 calm",
-        format!("{} stewards, {most} changes at most, {} allowed", judged.len(), day.judge.changes_most),
+        format!("{} stewards, {most} changes at most, {} allowed", judged.len(), day.judge.max_changes),
         breaks,
     ));
 
-    // V4: no life that was held for gone is shown again, and what is gone is only knocked at.
+    // V4: an incarnation once considered gone is not shown again, and members that are gone get no datagrams but probes.
     let mut breaks = Vec::new();
     let mut gone: BTreeMap<(usize, u64, String), u64> = BTreeMap::new();
-    for look in looks {
-        for (name, life) in &look.shown {
-            let key = (look.of, look.start, name.clone());
-            if gone.get(&key).is_some_and(|gone| life <= gone) {
-                breaks.push(format!("{:.1} s: steward-{} shows {name} again", seconds(look.at), look.of));
+    for sample in samples {
+        for (name, incarnation) in &sample.shown {
+            let key = (sample.of, sample.start, name.clone());
+            if gone.get(&key).is_some_and(|gone| incarnation <= gone) {
+                breaks.push(format!("{:.1} s: steward-{} shows {name} again", seconds(sample.at), sample.of));
             }
         }
-        // The view follows what is known once that is at rest: until then it shows the lost one still, not again.
-        for (name, life) in look.lost.iter().filter(|(name, life)| look.shown.get(*name) != Some(*life)) {
-            let known = gone.entry((look.of, look.start, name.clone())).or_insert(0);
-            *known = (*known).max(*life);
+        // The view is updated only once the membership is stable: until then it still shows a member that is gone, which is
+        // not a reappearance.
+        for (name, incarnation) in
+            sample.gone.iter().filter(|(name, incarnation)| sample.shown.get(*name) != Some(*incarnation))
+        {
+            let known = gone.entry((sample.of, sample.start, name.clone())).or_insert(0);
+            *known = (*known).max(*incarnation);
         }
     }
-    // Datagrams in the last two seconds to those that do not run: a knock each fifth round from each, with room.
-    let runs: Vec<usize> = checkpoints.last().map(|check| check.parts.concat()).unwrap_or_default();
+    // Datagrams in the last two seconds to stewards that don't run: each steward sends a probe every fifth round, and two more
+    // are allowed for.
+    let runs: Vec<usize> =
+        checkpoints.last().map(|check| check.reachable_groups.concat()).unwrap_or_default();
     let round = (day.fleet.round.0 as u64 / 10).max(1);
-    let knocks = runs.len() as u64 * (2_000 / (5 * round) + 2);
+    let probes = runs.len() as u64 * (2_000 / (5 * round) + 2);
     for n in (0..day.fleet.stewards).filter(|n| !runs.contains(n)) {
-        let late = crossed.iter().filter(|sent| sent.to == n && sent.at + 2_000 >= ended).count() as u64;
-        if late > knocks {
-            breaks.push(format!("{late} datagrams to steward-{n} in the last 2 s, {knocks} allowed"));
+        let late =
+            datagrams_sent.iter().filter(|sent| sent.to == n && sent.at + 2_000 >= ended).count() as u64;
+        if late > probes {
+            breaks.push(format!("{late} datagrams to steward-{n} in the last 2 s, {probes} allowed"));
         }
     }
-    verdict.rules.push(("V4 no ghost", format!("{} looks", looks.len()), breaks));
+    verdict.rules.push(("V4 no ghost", format!("{} samples", samples.len()), breaks));
 
-    // V5: bytes and datagrams a second.
+    // V5: bytes and datagrams per second.
     let mut breaks = Vec::new();
     let mut load: BTreeMap<(usize, u64), (u64, u64)> = BTreeMap::new();
-    for sent in crossed {
+    for sent in datagrams_sent {
         let one = load.entry((sent.from, sent.at / 1_000)).or_default();
         *one = (one.0 + 1, one.1 + sent.bytes as u64);
     }
     let datagrams = load.values().map(|load| load.0).max().unwrap_or(0);
     let bytes = load.values().map(|load| load.1).max().unwrap_or(0);
-    if datagrams > day.judge.datagrams_most || bytes > day.judge.bytes_most {
-        breaks
-            .push(format!("allowed {} datagrams, {} bytes", day.judge.datagrams_most, day.judge.bytes_most));
+    if datagrams > day.judge.max_datagrams_per_s || bytes > day.judge.max_bytes_per_s {
+        breaks.push(format!(
+            "allowed {} datagrams, {} bytes",
+            day.judge.max_datagrams_per_s, day.judge.max_bytes_per_s
+        ));
     }
     verdict.rules.push((
         "V5 cheap",
-        format!("{datagrams} datagrams, {bytes} bytes in the dearest second"),
+        format!("{datagrams} datagrams, {bytes} bytes in the busiest second"),
         breaks,
     ));
     verdict
--- a/crates/lab/src/fleet/measure.rs
+++ b/crates/lab/src/fleet/measure.rs
@@ -1,4 +1,4 @@
-//! Measures the view on processes of the program. Prints Markdown.
+//! Measures the view on real processes of the program and prints Markdown tables.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use ravenspar::print_line;
 use tokio::time::sleep;
 
-use super::day::{Bounds, Fleet as Shape, FleetDay};
+use super::day::{Bounds, FleetDay, FleetSettings};
 use super::play::Fleet;
 use crate::day::Span;
 use crate::measure::quantiles;
@@ -14,50 +14,51 @@
 use crate::stage::Fault;
 use crate::ways::End;
 
-/// Seconds at rest over which load is counted.
-const REST: u64 = 20;
+/// Seconds without changes over which the idle load is measured.
+const IDLE_S: u64 = 20;
 
-/// From crash to all others knowing, from heal to settled, from join to settled; and what the view costs at rest.
+/// Measures, for each number of stewards: the time from a crash until all others have dropped the member, from a join and from
+/// the end of a split until the view has settled, and the idle load.
 pub async fn measure(counts: &[usize], rounds: usize) -> Result<(), Fault> {
     print_line(format_args!(
-        "Rounds of 300 ms, {rounds} times each; s as median / 99th / worst. Crash: over all others. Join: of a process that \
-         starts again, its start included. Heal: of halves apart for 12 s.\n"
+        "Rounds of 300 ms, {rounds} times each; s as median / 99th / worst. Crash: for each of the others. Join: of a process that \
+         is restarted, including its start. Heal: after a split into halves for 12 s.\n"
     ));
-    print_line("| stewards | looked at each, ms | crash known | join settled | heal settled | datagrams/s a steward at rest | bytes/s | CPU |");
+    print_line("| stewards | poll interval, ms | crash noticed | join settled | heal settled | idle datagrams/s per steward | bytes/s | CPU |");
     print_line("| ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: |");
     for &count in counts {
         let dir = tempfile::tempdir()?;
         let day = FleetDay {
             about: String::new(),
             seed: 1,
-            fleet: Shape {
+            fleet: FleetSettings {
                 stewards: count,
                 round: Span(3_000),
                 seeds: vec![0],
                 dead_seeds: 0,
-                later: Vec::new(),
+                started_later: Vec::new(),
                 loss: 0.0,
-                without: Vec::new(),
+                disabled: Vec::new(),
             },
             faults: Vec::new(),
             judge: Bounds::default(),
         };
         let fleet = Fleet::open(day, dir.path()).await?;
-        // What is looked at costs a datagram for each member both ways.
-        let every = Duration::from_millis(if count > 9 { 250 } else { 50 });
-        fleet.every.set(Some(every));
+        // A query of the view costs a datagram for each member in both directions.
+        let poll_interval = Duration::from_millis(if count > 9 { 250 } else { 50 });
+        fleet.poll_interval.set(Some(poll_interval));
         let all: Vec<usize> = (0..count).collect();
         for &n in &all {
             fleet.start(n).await?;
         }
-        one(&fleet, &all).await?;
-        fleet.every.set(None);
+        converged(&fleet, &all).await?;
+        fleet.poll_interval.set(None);
         sleep(Duration::from_secs(2)).await;
-        let before = (crossed(&fleet), cpu(&fleet));
-        sleep(Duration::from_secs(REST)).await;
-        let after = (crossed(&fleet), cpu(&fleet));
-        fleet.every.set(Some(every));
-        let each = (REST as usize * count) as f64;
+        let before = (sent(&fleet), cpu_seconds(&fleet));
+        sleep(Duration::from_secs(IDLE_S)).await;
+        let after = (sent(&fleet), cpu_seconds(&fleet));
+        fleet.poll_interval.set(Some(poll_interval));
+        let each = (IDLE_S as usize * count) as f64;
         let load = (
             (after.0 .0 - before.0 .0) as f64 / each,
             (after.0 .1 - before.0 .1) as f64 / each,
@@ -69,11 +70,11 @@
             let others: Vec<usize> = all.iter().copied().filter(|n| *n != gone).collect();
             let from = fleet.datagrams.now();
             fleet.crash(gone).await;
-            one(&fleet, &others).await?;
-            crashes.extend(others.iter().map(|&n| known(&fleet, n, gone, from)));
+            converged(&fleet, &others).await?;
+            crashes.extend(others.iter().map(|&n| seconds_until_dropped(&fleet, n, gone, from)));
             let from = fleet.datagrams.now();
             fleet.start(gone).await?;
-            one(&fleet, &all).await?;
+            converged(&fleet, &all).await?;
             joins.push(seconds(fleet.datagrams.now() - from));
             let (side, rest) = all.split_at(count / 2);
             let apart = || {
@@ -84,12 +85,12 @@
             sleep(Duration::from_secs(12)).await;
             let from = fleet.datagrams.now();
             fleet.ways.change_between(apart(), |way| way.cut -= 1);
-            one(&fleet, &all).await?;
+            converged(&fleet, &all).await?;
             heals.push(seconds(fleet.datagrams.now() - from));
         }
         print_line(format_args!(
             "| {count} | {} | {} | {} | {} | {:.1} | {:.0} | {:.2}% |",
-            every.as_millis(),
+            poll_interval.as_millis(),
             quantiles(crashes, 1),
             quantiles(joins, 1),
             quantiles(heals, 1),
@@ -101,12 +102,13 @@
     Ok(())
 }
 
-async fn one(fleet: &Rc<Fleet>, members: &[usize]) -> Result<(), Fault> {
-    // What was looked at before does not count.
-    sleep(fleet.every.get().unwrap_or_default() * 2).await;
-    match fleet.becomes_one(members).await {
+/// Waits until these members have converged, by samples taken from now on.
+async fn converged(fleet: &Rc<Fleet>, members: &[usize]) -> Result<(), Fault> {
+    // Earlier samples don't count.
+    sleep(fleet.poll_interval.get().unwrap_or_default() * 2).await;
+    match fleet.wait_until_converged(members).await {
         true => Ok(()),
-        false => Err(Fault::Failed(format!("{members:?} did not become one"))),
+        false => Err(Fault::Failed(format!("{members:?} did not converge"))),
     }
 }
 
@@ -114,22 +116,22 @@
     ms as f64 / 1e3
 }
 
-/// From a moment until a steward showed another no more.
-fn known(fleet: &Fleet, by: usize, gone: usize, from: u64) -> f64 {
+/// Seconds from a time until steward `by` no longer showed `gone` in its view.
+fn seconds_until_dropped(fleet: &Fleet, by: usize, gone: usize, from: u64) -> f64 {
     let name = format!("steward-{gone}");
-    let looks = fleet.looks.borrow();
-    let mut seen = looks.iter().filter(|look| look.of == by && look.at >= from);
-    seconds(seen.find(|look| !look.shown.contains_key(&name)).map_or(u64::MAX, |look| look.at) - from)
+    let samples = fleet.samples.borrow();
+    let mut seen = samples.iter().filter(|sample| sample.of == by && sample.at >= from);
+    seconds(seen.find(|sample| !sample.shown.contains_key(&name)).map_or(u64::MAX, |sample| sample.at) - from)
 }
 
-/// Datagrams and bytes that crossed so far.
-fn crossed(fleet: &Fleet) -> (usize, usize) {
-    let Some(crossed) = &fleet.datagrams.crossed else { return (0, 0) };
-    let crossed = crossed.borrow();
-    (crossed.len(), crossed.iter().map(|one| one.bytes).sum())
+/// Datagrams and bytes sent so far.
+fn sent(fleet: &Fleet) -> (usize, usize) {
+    let Some(log) = &fleet.datagrams.log else { return (0, 0) };
+    let log = log.borrow();
+    (log.len(), log.iter().map(|datagram| datagram.bytes).sum())
 }
 
-/// Seconds of CPU that all processes had so far.
-fn cpu(fleet: &Fleet) -> f64 {
+/// CPU seconds that all processes have used so far.
+fn cpu_seconds(fleet: &Fleet) -> f64 {
     fleet.processes.borrow().iter().flatten().map(Process::cpu).sum()
 }
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Days of the view of the fleet alone: stewards without servers or clients, faults between any two of them, and a judge
-//! of what crossed between them and what each showed.
+//! Days that test the view of the fleet alone: stewards without servers or clients, faults between any two of them, and a
+//! judge of the datagrams between them and of the view that each showed.
 
 mod day;
 mod judge;
--- a/crates/lab/src/fleet/play.rs
+++ b/crates/lab/src/fleet/play.rs
@@ -1,4 +1,4 @@
-//! Plays a day of the view on real processes.
+//! Runs a day for the view on real processes whose datagrams all pass through the lab.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -11,59 +11,60 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use super::day::{Fault as Trouble, FleetDay, What};
-use super::judge::{judge, Checkpoint, Look, Verdict};
-use super::waits::Waits;
+use super::day::{FaultKind, FleetDay, ScheduledFault};
+use super::judge::{judge, Checkpoint, Verdict, ViewSample};
+use super::waits::CpuWaits;
 use crate::processes::{send, Process};
 use crate::stage::Fault;
 use crate::ways::{make_key, Datagrams, End, Way, Ways};
 
-/// Between two looks at what a steward shows.
-const LOOK: Duration = Duration::from_millis(100);
+/// Interval between two queries of a steward's view.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long the fleet may take to find together at the start: processes start beside whatever else the machine does.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// How long the fleet may take to converge at the start; generous because the machine may be busy with other work.
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(60);
 
+/// The processes of a running day, the datagram proxy between them and what was observed.
 pub struct Fleet {
     day: FleetDay,
     dir: PathBuf,
     pub ways: Rc<Ways>,
     pub datagrams: Rc<Datagrams>,
     pub processes: RefCell<Vec<Option<Process>>>,
-    /// How often each was started.
+    /// How often each steward was started.
     starts: RefCell<Vec<u64>>,
-    /// Those that stand still at the moment.
-    stopped: RefCell<Vec<usize>>,
-    pub looks: RefCell<Vec<Look>>,
-    /// Between two looks at what a steward shows; none are made while it is none.
-    pub every: Cell<Option<Duration>>,
+    /// Stewards that are paused at the moment.
+    paused: RefCell<Vec<usize>>,
+    pub samples: RefCell<Vec<ViewSample>>,
+    /// Interval between two queries of a steward's view; `None` suspends them.
+    pub poll_interval: Cell<Option<Duration>>,
     checkpoints: RefCell<Vec<Checkpoint>>,
-    waits: RefCell<Waits>,
-    dead: Vec<std::net::SocketAddr>,
+    waits: RefCell<CpuWaits>,
+    dead_seeds: Vec<std::net::SocketAddr>,
 }
 
-/// Plays the day and judges it. `dir` takes settings and logs.
+/// Runs the day and judges it. Settings, logs and samples are written to `dir`.
 pub async fn play(day: FleetDay, dir: &Path) -> Result<Verdict, Fault> {
     ravenspar::print_line(&day.about);
     let fleet = Fleet::open(day, dir).await?;
     let first: Vec<usize> =
-        (0..fleet.day.fleet.stewards).filter(|n| !fleet.day.fleet.later.contains(n)).collect();
+        (0..fleet.day.fleet.stewards).filter(|n| !fleet.day.fleet.started_later.contains(n)).collect();
     for &n in &first {
         fleet.start(n).await?;
     }
-    let one = fleet.becomes_one(&first).await;
+    let converged = fleet.wait_until_converged(&first).await;
     let settled = fleet.datagrams.now();
-    let ended = if one { fleet.troubles(settled).await? } else { settled };
-    std::fs::write(dir.join("looks.jsonl"), lines(&fleet.looks.borrow()))?;
-    std::fs::write(dir.join("waits.jsonl"), fleet.waits.borrow().lines())?;
+    let ended = if converged { fleet.inject_faults(settled).await? } else { settled };
+    std::fs::write(dir.join("looks.jsonl"), to_json_lines(&fleet.samples.borrow()))?;
+    std::fs::write(dir.join("waits.jsonl"), fleet.waits.borrow().to_json_lines())?;
     let worst = fleet.waits.borrow().worst();
-    if !one {
-        return Ok(Verdict::never_one(&fleet.looks.borrow()).with_waits(worst));
+    if !converged {
+        return Ok(Verdict::never_converged(&fleet.samples.borrow()).with_waits(worst));
     }
     let verdict = judge(
         &fleet.day,
-        &fleet.looks.borrow(),
-        &fleet.datagrams.crossed.as_ref().map(|crossed| crossed.borrow().clone()).unwrap_or_default(),
+        &fleet.samples.borrow(),
+        &fleet.datagrams.log.as_ref().map(|log| log.borrow().clone()).unwrap_or_default(),
         &fleet.checkpoints.borrow(),
         settled,
         ended,
@@ -71,19 +72,20 @@
     Ok(verdict.with_waits(worst))
 }
 
-fn lines(looks: &[Look]) -> String {
-    let line = |look: &Look| {
+/// The samples as JSON lines, for `looks.jsonl`.
+fn to_json_lines(samples: &[ViewSample]) -> String {
+    let line = |sample: &ViewSample| {
         serde_json::json!({
-            "at_ms": look.at, "of": look.of, "start": look.start, "digest": format!("{:016x}", look.digest),
-            "settled": look.settled, "cut_off": look.cut_off, "shown": look.shown, "lost": look.lost,
+            "at_ms": sample.at, "of": sample.of, "start": sample.start, "digest": format!("{:016x}", sample.digest),
+            "settled": sample.settled, "cut_off": sample.cut_off, "shown": sample.shown, "lost": sample.gone,
         })
         .to_string()
     };
-    looks.iter().map(line).collect::<Vec<_>>().join("\n")
+    samples.iter().map(line).collect::<Vec<_>>().join("\n")
 }
 
 impl Fleet {
-    /// With nobody started yet; whoever runs is looked at.
+    /// Opens the datagram proxy and starts to observe the stewards, none of which is started yet.
     pub async fn open(day: FleetDay, dir: &Path) -> Result<Rc<Fleet>, Fault> {
         let count = day.fleet.stewards;
         make_key(dir)?;
@@ -93,34 +95,34 @@
         )?;
         let ways = Ways::new(day.seed, Way { loss: day.fleet.loss, ..Way::default() });
         let datagrams = Datagrams::open(&ways, count, true).await?;
-        // Held open so that nobody else gets them; nothing answers there.
-        let dead = (0..day.fleet.dead_seeds).map(|_| std::net::UdpSocket::bind("127.0.0.1:0"));
-        let dead: Vec<std::net::UdpSocket> = dead.collect::<Result<_, _>>()?;
+        // The sockets are held so that no other process gets these ports; nothing answers there.
+        let dead_seeds = (0..day.fleet.dead_seeds).map(|_| std::net::UdpSocket::bind("127.0.0.1:0"));
+        let dead_seeds: Vec<std::net::UdpSocket> = dead_seeds.collect::<Result<_, _>>()?;
         let fleet = Rc::new(Fleet {
-            dead: dead.iter().map(std::net::UdpSocket::local_addr).collect::<Result<_, _>>()?,
+            dead_seeds: dead_seeds.iter().map(std::net::UdpSocket::local_addr).collect::<Result<_, _>>()?,
             dir: dir.to_owned(),
             ways,
             datagrams,
             processes: RefCell::new((0..count).map(|_| None).collect()),
             starts: RefCell::new(vec![0; count]),
-            stopped: RefCell::default(),
-            looks: RefCell::default(),
-            every: Cell::new(Some(LOOK)),
+            paused: RefCell::default(),
+            samples: RefCell::default(),
+            poll_interval: Cell::new(Some(POLL_INTERVAL)),
             checkpoints: RefCell::default(),
             waits: RefCell::default(),
             day,
         });
         for n in 0..count {
-            spawn_local(fleet.clone().look(n));
+            spawn_local(fleet.clone().poll_view(n));
         }
-        spawn_local(fleet.clone().sample());
+        spawn_local(fleet.clone().sample_cpu_waits());
         Ok(fleet)
     }
 
-    /// Waits until these are one, and says whether they were in time.
-    pub async fn becomes_one(&self, members: &[usize]) -> bool {
-        let until = std::time::Instant::now() + PATIENCE;
-        while !self.is_one(members) {
+    /// Waits until these members have converged. Returns false if that takes longer than [`CONVERGENCE_TIMEOUT`].
+    pub async fn wait_until_converged(&self, members: &[usize]) -> bool {
+        let until = std::time::Instant::now() + CONVERGENCE_TIMEOUT;
+        while !self.has_converged(members) {
             if std::time::Instant::now() >= until {
                 return false;
             }
@@ -129,6 +131,7 @@
         true
     }
 
+    /// Starts a steward.
     pub async fn start(&self, n: usize) -> Result<(), Fault> {
         self.datagrams.started(n, async || self.try_start(n).await).await
     }
@@ -137,7 +140,7 @@
         let (shown, own) = self.datagrams.of(n);
         let seeds = self.day.fleet.seeds.iter().map(|&seed| self.datagrams.of(seed).0);
         let peers: Vec<String> =
-            self.dead.iter().copied().chain(seeds).map(|at| format!("\"{at}\"")).collect();
+            self.dead_seeds.iter().copied().chain(seeds).map(|at| format!("\"{at}\"")).collect();
         let settings = format!(
             "listen: 127.0.0.1:0\nrecord: steward-{n}.redb\nlist: {{path: servers.yaml}}\nforwarders: 1\nslices: 1\n\
              lease: 1s\nsettle: 1s\nhold: 500ms\nunserved_most: 10s\nsilent_after: 1s\n\
@@ -154,7 +157,7 @@
         std::fs::write(&path, settings)?;
         let args = ["steward", "--log", "info", "serve"].into_iter().map(OsString::from);
         let without =
-            self.day.fleet.without.iter().flat_map(|part| ["--without".into(), OsString::from(part)]);
+            self.day.fleet.disabled.iter().flat_map(|group| ["--without".into(), OsString::from(group)]);
         let args = args.chain([path.into_os_string()]).chain(without).collect();
         let process = Process::start(args, &self.dir.join(format!("steward-{n}.log"))).await?;
         self.starts.borrow_mut()[n] += 1;
@@ -162,38 +165,39 @@
         Ok(())
     }
 
+    /// Kills a steward.
     pub async fn crash(&self, n: usize) {
         let process = self.processes.borrow_mut()[n].take();
         if let Some(mut process) = process {
             process.kill().await;
         }
-        self.stopped.borrow_mut().retain(|&other| other != n);
+        self.paused.borrow_mut().retain(|&other| other != n);
     }
 
-    fn runs(&self, n: usize) -> bool {
-        self.processes.borrow()[n].is_some() && !self.stopped.borrow().contains(&n)
+    fn is_running(&self, n: usize) -> bool {
+        self.processes.borrow()[n].is_some() && !self.paused.borrow().contains(&n)
     }
 
-    /// Samples again and again how long each process waited for a core, the lab included: all datagrams go through it.
-    async fn sample(self: Rc<Fleet>) {
+    /// Samples periodically how long each process waited for a CPU core. The lab is included, as it relays all datagrams.
+    async fn sample_cpu_waits(self: Rc<Fleet>) {
         loop {
             let due = self.waits.borrow().due();
             tokio::time::sleep_until(due.into()).await;
             let mut processes = vec![("lab".to_owned(), std::process::id())];
-            let of = |(n, process): (usize, &Option<Process>)| {
+            let named = |(n, process): (usize, &Option<Process>)| {
                 process.as_ref().and_then(Process::id).map(|id| (format!("steward-{n}"), id))
             };
-            processes.extend(self.processes.borrow().iter().enumerate().filter_map(of));
+            processes.extend(self.processes.borrow().iter().enumerate().filter_map(named));
             self.waits.borrow_mut().sample(self.datagrams.now(), &processes);
         }
     }
 
-    /// Looks again and again at what a steward shows, by its own socket.
-    async fn look(self: Rc<Fleet>, n: usize) {
+    /// Queries a steward's view periodically, at the socket that it listens on.
+    async fn poll_view(self: Rc<Fleet>, n: usize) {
         let key = self.dir.join("fleet.key");
         loop {
-            sleep(self.every.get().unwrap_or(LOOK)).await;
-            if !self.runs(n) || self.every.get().is_none() {
+            sleep(self.poll_interval.get().unwrap_or(POLL_INTERVAL)).await;
+            if !self.is_running(n) || self.poll_interval.get().is_none() {
                 continue;
             }
             let start = self.starts.borrow()[n];
@@ -202,16 +206,16 @@
             if self.starts.borrow()[n] != start {
                 continue;
             }
-            let (mut shown, mut lost) = (BTreeMap::new(), BTreeMap::new());
+            let (mut shown, mut gone) = (BTreeMap::new(), BTreeMap::new());
             for member in &answer.members {
                 if member.shown {
                     shown.insert(member.name.clone(), member.life);
                 }
                 if member.state == State::Gone {
-                    lost.insert(member.name.clone(), member.life);
+                    gone.insert(member.name.clone(), member.life);
                 }
             }
-            let look = Look {
+            let sample = ViewSample {
                 at: self.datagrams.now(),
                 of: n,
                 start,
@@ -219,86 +223,88 @@
                 settled: answer.view.settled,
                 cut_off: answer.view.cut_off,
                 shown,
-                lost,
+                gone,
             };
-            self.looks.borrow_mut().push(look);
+            self.samples.borrow_mut().push(sample);
         }
     }
 
-    /// Whether these, at their last look, show each other and say that they settled.
-    fn is_one(&self, members: &[usize]) -> bool {
-        let looks = self.looks.borrow();
-        let last: Vec<&Look> =
-            members.iter().filter_map(|&n| looks.iter().rev().find(|look| look.of == n)).collect();
+    /// Returns true if each of these members, by its last sample, has settled and shows exactly these members.
+    fn has_converged(&self, members: &[usize]) -> bool {
+        let samples = self.samples.borrow();
+        let last: Vec<&ViewSample> =
+            members.iter().filter_map(|&n| samples.iter().rev().find(|sample| sample.of == n)).collect();
         let names: Vec<String> = {
             let mut names: Vec<String> = members.iter().map(|n| format!("steward-{n}")).collect();
             names.sort();
             names
         };
         last.len() == members.len()
-            && last.iter().all(|look| look.settled && look.digest == last[0].digest)
-            && last.iter().all(|look| look.shown.keys().eq(names.iter()))
+            && last.iter().all(|sample| sample.settled && sample.digest == last[0].digest)
+            && last.iter().all(|sample| sample.shown.keys().eq(names.iter()))
     }
 
-    /// Parts of the fleet that reach each other, by whatever way around; those that do not run are in none.
-    fn parts(&self) -> Vec<Vec<usize>> {
-        let mut left: Vec<usize> = (0..self.day.fleet.stewards).filter(|&n| self.runs(n)).collect();
-        let mut parts = Vec::new();
-        while let Some(first) = left.pop() {
-            let mut part = vec![first];
+    /// Groups of stewards that reach each other, directly or through others. Stewards that don't run are in none.
+    fn reachable_groups(&self) -> Vec<Vec<usize>> {
+        let mut remaining: Vec<usize> =
+            (0..self.day.fleet.stewards).filter(|&n| self.is_running(n)).collect();
+        let mut reachable_groups = Vec::new();
+        while let Some(first) = remaining.pop() {
+            let mut group = vec![first];
             let mut at = 0;
-            while at < part.len() {
-                let from = part[at];
-                let (found, rest): (Vec<usize>, Vec<usize>) =
-                    left.iter().partition(|&&n| self.ways.open_between(End::Steward(from), End::Steward(n)));
-                part.extend(found);
-                left = rest;
+            while at < group.len() {
+                let from = group[at];
+                let (found, rest): (Vec<usize>, Vec<usize>) = remaining
+                    .iter()
+                    .partition(|&&n| self.ways.open_between(End::Steward(from), End::Steward(n)));
+                group.extend(found);
+                remaining = rest;
                 at += 1;
             }
-            part.sort_unstable();
-            parts.push(part);
+            group.sort_unstable();
+            reachable_groups.push(group);
         }
-        parts
+        reachable_groups
     }
 
-    /// The faults in order. Where nothing changes for as long as settling may take, what is shown is held against the
-    /// truth. Returns when the day ended.
-    async fn troubles(self: &Rc<Fleet>, settled: u64) -> Result<u64, Fault> {
-        // Each fault as its beginning and its end.
+    /// Injects the faults in order. Wherever nothing changes for as long as the view may take to settle, a checkpoint is added at
+    /// which the views have to be right. Returns the time at which the day ended.
+    async fn inject_faults(self: &Rc<Fleet>, settled: u64) -> Result<u64, Fault> {
+        // The beginning and the end of each fault.
         let mut steps: Vec<(u64, Step)> = Vec::new();
-        let mut add = |trouble: &Trouble| {
-            let at = settled + trouble.at.0 as u64 / 10;
-            steps.push((at, Step::Begin(trouble.what.clone())));
-            let lasts = trouble.what.lasts().0 as u64 / 10;
+        let mut add = |fault: &ScheduledFault| {
+            let at = settled + fault.at.0 as u64 / 10;
+            steps.push((at, Step::Begin(fault.what.clone())));
+            let lasts = fault.what.lasts().0 as u64 / 10;
             if lasts > 0 {
-                steps.push((at + lasts, Step::End(trouble.what.clone())));
+                steps.push((at + lasts, Step::End(fault.what.clone())));
             }
         };
-        for trouble in &self.day.faults {
-            match &trouble.what {
-                What::Storm { faults, lasts } => {
-                    self.storm(trouble.at.0, *faults, lasts.0).iter().for_each(&mut add)
+        for fault in &self.day.faults {
+            match &fault.what {
+                FaultKind::Storm { count, lasts } => {
+                    self.storm(fault.at.0, *count, lasts.0).iter().for_each(&mut add)
                 }
-                _ => add(trouble),
+                _ => add(fault),
             }
         }
         steps.sort_by_key(|(at, _)| *at);
         let within = self.day.judge.settles_within.0 as u64 / 10;
         let mut last = settled;
-        for (at, step) in steps {
+        for (at, apply_step) in steps {
             if at > last + within {
                 self.wait_until(last + within).await;
-                self.check(last);
+                self.add_checkpoint(last);
             }
             self.wait_until(at).await;
-            self.step(step).await?;
+            self.apply_step(apply_step).await?;
             last = self.datagrams.now();
         }
         self.wait_until(last + within).await;
-        self.check(last);
-        // What was settled stays so.
-        sleep(LOOK * 20).await;
-        self.check(last);
+        self.add_checkpoint(last);
+        // A settled view has to stay settled.
+        sleep(POLL_INTERVAL * 20).await;
+        self.add_checkpoint(last);
         Ok(self.datagrams.now())
     }
 
@@ -306,26 +312,26 @@
         sleep(Duration::from_millis(at.saturating_sub(self.datagrams.now()))).await;
     }
 
-    fn check(&self, since: u64) {
-        let parts = self.parts();
-        self.checkpoints.borrow_mut().push(Checkpoint { at: self.datagrams.now(), since, parts });
+    fn add_checkpoint(&self, since: u64) {
+        let reachable_groups = self.reachable_groups();
+        self.checkpoints.borrow_mut().push(Checkpoint { at: self.datagrams.now(), since, reachable_groups });
     }
 
-    async fn step(self: &Rc<Fleet>, step: Step) -> Result<(), Fault> {
-        match step {
-            Step::Begin(What::Crash { stewards }) => {
+    async fn apply_step(self: &Rc<Fleet>, apply_step: Step) -> Result<(), Fault> {
+        match apply_step {
+            Step::Begin(FaultKind::Crash { stewards }) => {
                 for n in stewards {
                     self.crash(n).await;
                 }
             }
-            Step::Begin(What::Start { stewards }) => {
+            Step::Begin(FaultKind::Start { stewards }) => {
                 for n in stewards {
                     if self.processes.borrow()[n].is_none() {
                         self.start(n).await?;
                     }
                 }
             }
-            Step::Begin(What::Leave { stewards }) => {
+            Step::Begin(FaultKind::Leave { stewards }) => {
                 for n in stewards {
                     let process = self.processes.borrow_mut()[n].take();
                     if let Some(mut process) = process {
@@ -333,7 +339,7 @@
                     }
                 }
             }
-            Step::Begin(What::Restart { stewards, moved }) => {
+            Step::Begin(FaultKind::Restart { stewards, moved }) => {
                 for &n in &stewards {
                     self.crash(n).await;
                 }
@@ -344,33 +350,33 @@
                     self.start(n).await?;
                 }
             }
-            Step::Begin(What::Split { side, .. }) => {
+            Step::Begin(FaultKind::Split { side, .. }) => {
                 let apart = self.pairs(|a, b| side.contains(&a) != side.contains(&b));
                 self.ways.change(apart, |way| way.cut += 1);
             }
-            Step::End(What::Split { side, .. }) => {
+            Step::End(FaultKind::Split { side, .. }) => {
                 let apart = self.pairs(|a, b| side.contains(&a) != side.contains(&b));
                 self.ways.change(apart, |way| way.cut -= 1);
             }
-            Step::Begin(What::Cut { from, to, .. }) => {
+            Step::Begin(FaultKind::Cut { from, to, .. }) => {
                 self.ways.change(self.pairs(|a, b| from.contains(&a) && to.contains(&b)), |way| way.cut += 1);
             }
-            Step::End(What::Cut { from, to, .. }) => {
+            Step::End(FaultKind::Cut { from, to, .. }) => {
                 self.ways.change(self.pairs(|a, b| from.contains(&a) && to.contains(&b)), |way| way.cut -= 1);
             }
-            Step::Begin(What::Lose { stewards, share, late, .. }) => {
+            Step::Begin(FaultKind::Lose { stewards, share, late, .. }) => {
                 let late = Duration::from_micros(late.0 as u64 * 100);
                 let of = self.pairs(|a, b| stewards.contains(&a) || stewards.contains(&b));
                 self.ways.change(of, |way| (way.loss, way.late) = (share, late));
             }
-            Step::End(What::Lose { stewards, .. }) => {
+            Step::End(FaultKind::Lose { stewards, .. }) => {
                 let loss = self.day.fleet.loss;
                 let of = self.pairs(|a, b| stewards.contains(&a) || stewards.contains(&b));
                 self.ways.change(of, |way| (way.loss, way.late) = (loss, Duration::ZERO));
             }
-            Step::Begin(What::Stop { stewards, .. }) => self.signal(&stewards, true).await,
-            Step::End(What::Stop { stewards, .. }) => self.signal(&stewards, false).await,
-            Step::Begin(What::Crawl { stewards, on, off, lasts }) => {
+            Step::Begin(FaultKind::Stop { stewards, .. }) => self.signal(&stewards, true).await,
+            Step::End(FaultKind::Stop { stewards, .. }) => self.signal(&stewards, false).await,
+            Step::Begin(FaultKind::Crawl { stewards, on, off, lasts }) => {
                 let fleet = self.clone();
                 let until = self.datagrams.now() + lasts.0 as u64 / 10;
                 let span = |span: crate::day::Span| Duration::from_micros(span.0 as u64 * 100);
@@ -383,19 +389,20 @@
                     }
                 });
             }
-            Step::End(What::Crawl { stewards, .. }) => self.send_signal(&stewards, false).await,
-            Step::Begin(What::Storm { .. }) | Step::End(_) => {}
+            Step::End(FaultKind::Crawl { stewards, .. }) => self.send_signal(&stewards, false).await,
+            Step::Begin(FaultKind::Storm { .. }) | Step::End(_) => {}
         }
         Ok(())
     }
 
+    /// Pauses or continues stewards. Paused ones don't count as running.
     async fn signal(&self, stewards: &[usize], stop: bool) {
         if stop {
-            self.stopped.borrow_mut().extend(stewards);
+            self.paused.borrow_mut().extend(stewards);
         }
         self.send_signal(stewards, stop).await;
         if !stop {
-            self.stopped.borrow_mut().retain(|n| !stewards.contains(n));
+            self.paused.borrow_mut().retain(|n| !stewards.contains(n));
         }
     }
 
@@ -408,45 +415,54 @@
         }
     }
 
-    /// Pairs of stewards, each direction by itself.
-    fn pairs(&self, of: impl Fn(usize, usize) -> bool) -> Vec<(End, End)> {
+    /// Ordered pairs of stewards that satisfy the predicate.
+    fn pairs(&self, predicate: impl Fn(usize, usize) -> bool) -> Vec<(End, End)> {
         let all = 0..self.day.fleet.stewards;
         let pairs = all.clone().flat_map(|a| all.clone().map(move |b| (a, b)));
-        pairs.filter(|&(a, b)| a != b && of(a, b)).map(|(a, b)| (End::Steward(a), End::Steward(b))).collect()
+        pairs
+            .filter(|&(a, b)| a != b && predicate(a, b))
+            .map(|(a, b)| (End::Steward(a), End::Steward(b)))
+            .collect()
     }
 
-    /// Faults of all kinds, one over the other, that are over when the storm is; all run again at its end.
-    fn storm(&self, at: i64, faults: usize, lasts: i64) -> Vec<Trouble> {
+    /// Draws overlapping faults of all kinds, which end with the storm at the latest. All stewards run at its end.
+    fn storm(&self, at: i64, faults: usize, lasts: i64) -> Vec<ScheduledFault> {
         use crate::day::Span;
-        let mut chance = fastrand::Rng::with_seed(self.day.seed);
+        let mut rng = fastrand::Rng::with_seed(self.day.seed);
         let count = self.day.fleet.stewards;
         let mut all = Vec::new();
         for _ in 0..faults {
-            let begin = chance.i64(0..lasts * 3 / 4);
-            let span = Span(chance.i64(1..=lasts - begin));
-            let one = chance.usize(..count);
-            let other = (one + chance.usize(1..count)) % count;
-            let (what, back) = match chance.u32(..7) {
-                0 | 1 => (What::Crash { stewards: vec![one] }, Some(What::Start { stewards: vec![one] })),
-                2 => (What::Restart { stewards: vec![one], moved: chance.bool() }, None),
+            let begin = rng.i64(0..lasts * 3 / 4);
+            let span = Span(rng.i64(1..=lasts - begin));
+            let one = rng.usize(..count);
+            let other = (one + rng.usize(1..count)) % count;
+            let (what, back) = match rng.u32(..7) {
+                0 | 1 => {
+                    (FaultKind::Crash { stewards: vec![one] }, Some(FaultKind::Start { stewards: vec![one] }))
+                }
+                2 => (FaultKind::Restart { stewards: vec![one], moved: rng.bool() }, None),
                 3 => {
-                    let side = (0..count).filter(|_| chance.bool()).collect();
-                    (What::Split { side, lasts: span }, None)
+                    let side = (0..count).filter(|_| rng.bool()).collect();
+                    (FaultKind::Split { side, lasts: span }, None)
                 }
-                4 => (What::Cut { from: vec![one], to: vec![other], lasts: span }, None),
-                5 => (What::Lose { stewards: vec![one], share: 0.8, late: Span(0), lasts: span }, None),
-                _ => (What::Stop { stewards: vec![one], lasts: span }, None),
+                4 => (FaultKind::Cut { from: vec![one], to: vec![other], lasts: span }, None),
+                5 => (FaultKind::Lose { stewards: vec![one], share: 0.8, late: Span(0), lasts: span }, None),
+                _ => (FaultKind::Stop { stewards: vec![one], lasts: span }, None),
             };
-            all.push(Trouble { at: Span(at + begin), what });
-            all.extend(back.map(|what| Trouble { at: Span(at + begin + span.0), what }));
+            all.push(ScheduledFault { at: Span(at + begin), what });
+            all.extend(back.map(|what| ScheduledFault { at: Span(at + begin + span.0), what }));
         }
-        // Whoever was killed twice and started once.
-        all.push(Trouble { at: Span(at + lasts), what: What::Start { stewards: (0..count).collect() } });
+        // For stewards that were killed twice and started once.
+        all.push(ScheduledFault {
+            at: Span(at + lasts),
+            what: FaultKind::Start { stewards: (0..count).collect() },
+        });
         all
     }
 }
 
+/// The beginning or the end of a fault.
 enum Step {
-    Begin(What),
-    End(What),
+    Begin(FaultKind),
+    End(FaultKind),
 }
--- a/crates/lab/src/ways/datagrams.rs
+++ b/crates/lab/src/ways/datagrams.rs
@@ -1,7 +1,7 @@
-//! Datagrams between stewards.
+//! Relays datagrams between stewards.
 //!
-//! A steward's address for the others is a socket of the lab's. What comes there from another is handed on from that other's
-//! socket, so that answers take the way back.
+//! The address at which a steward is reached by the others is a socket of the lab. A datagram that another steward sends there
+//! is forwarded from that sender's own socket in the lab, so that responses take the reverse link.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -13,17 +13,18 @@
 
 use super::{End, Ways};
 
-/// Where a steward is reached, and where it listens itself.
+/// The lab's socket for a steward and the address at which the steward itself listens.
 #[derive(Clone)]
-struct Place {
-    near: Rc<UdpSocket>,
-    shown: SocketAddr,
-    own: SocketAddr,
+struct StewardSocket {
+    socket: Rc<UdpSocket>,
+    /// Address of `socket`, at which the other stewards reach this one.
+    advertised: SocketAddr,
+    listen: SocketAddr,
 }
 
-/// One datagram that a steward sent.
+/// A datagram that a steward sent, whether it arrived or not.
 #[derive(Clone, Copy, Debug)]
-pub struct Crossed {
+pub struct SentDatagram {
     /// Milliseconds since the start of the day.
     pub at: u64,
     pub from: usize,
@@ -31,111 +32,115 @@
     pub bytes: usize,
 }
 
+/// The proxy for all datagrams between the stewards of a day.
 pub struct Datagrams {
     ways: Rc<Ways>,
-    places: RefCell<Vec<Place>>,
-    /// Whose socket an address is, those of earlier places included.
-    owners: RefCell<BTreeMap<SocketAddr, usize>>,
-    /// What crossed, where somebody wants to know.
-    pub crossed: Option<RefCell<Vec<Crossed>>>,
+    sockets: RefCell<Vec<StewardSocket>>,
+    /// Numbers of stewards by the addresses they listen at, including earlier ones.
+    steward_by_addr: RefCell<BTreeMap<SocketAddr, usize>>,
+    /// All datagrams sent, if they are logged.
+    pub log: Option<RefCell<Vec<SentDatagram>>>,
     pub lost: Cell<u64>,
-    pub came: Cell<u64>,
+    pub received: Cell<u64>,
     began: std::time::Instant,
 }
 
 impl Datagrams {
-    /// `noted`: whether each that crosses is written down, for a judge.
-    pub async fn open(ways: &Rc<Ways>, stewards: usize, noted: bool) -> std::io::Result<Rc<Datagrams>> {
+    /// Opens the sockets for all stewards. With `keep_log`, each datagram is logged for the judge.
+    pub async fn open(ways: &Rc<Ways>, stewards: usize, keep_log: bool) -> std::io::Result<Rc<Datagrams>> {
         let datagrams = Rc::new(Datagrams {
             ways: ways.clone(),
-            places: RefCell::default(),
-            owners: RefCell::default(),
-            crossed: noted.then(RefCell::default),
+            sockets: RefCell::default(),
+            steward_by_addr: RefCell::default(),
+            log: keep_log.then(RefCell::default),
             lost: Cell::new(0),
-            came: Cell::new(0),
+            received: Cell::new(0),
             began: std::time::Instant::now(),
         });
         for n in 0..stewards {
-            let place = datagrams.place(n).await?;
-            datagrams.places.borrow_mut().push(place);
+            let steward = datagrams.open_socket(n).await?;
+            datagrams.sockets.borrow_mut().push(steward);
         }
         Ok(datagrams)
     }
 
-    async fn place(self: &Rc<Datagrams>, n: usize) -> std::io::Result<Place> {
-        let near = Rc::new(UdpSocket::bind("127.0.0.1:0").await?);
-        let shown = near.local_addr()?;
+    async fn open_socket(self: &Rc<Datagrams>, n: usize) -> std::io::Result<StewardSocket> {
+        let socket = Rc::new(UdpSocket::bind("127.0.0.1:0").await?);
+        let advertised = socket.local_addr()?;
         // A port that the system has just found free; the steward binds it at once.
-        let own = std::net::UdpSocket::bind("127.0.0.1:0")?.local_addr()?;
-        self.owners.borrow_mut().insert(own, n);
-        let (datagrams, socket) = (self.clone(), near.clone());
-        spawn_local(async move { datagrams.carry(n, &socket).await });
-        Ok(Place { near, shown, own })
+        let listen = std::net::UdpSocket::bind("127.0.0.1:0")?.local_addr()?;
+        self.steward_by_addr.borrow_mut().insert(listen, n);
+        let (datagrams, receiver) = (self.clone(), socket.clone());
+        spawn_local(async move { datagrams.relay(n, &receiver).await });
+        Ok(StewardSocket { socket, advertised, listen })
     }
 
-    /// The steward has another address from now on; nobody is at the old one.
+    /// Gives the steward a new address. Datagrams to the old one are lost.
     pub async fn move_on(self: &Rc<Datagrams>, n: usize) -> std::io::Result<()> {
-        let place = self.place(n).await?;
-        self.places.borrow_mut()[n] = place;
+        let steward = self.open_socket(n).await?;
+        self.sockets.borrow_mut()[n] = steward;
         Ok(())
     }
 
-    /// Another port for the steward to listen at, where somebody else got the one before: it was free when it was chosen.
-    fn another_port(&self, n: usize) -> std::io::Result<()> {
-        let own = std::net::UdpSocket::bind("127.0.0.1:0")?.local_addr()?;
-        self.owners.borrow_mut().insert(own, n);
-        self.places.borrow_mut()[n].own = own;
+    /// Chooses another port for the steward to listen at, since another process may have taken the previous one between its
+    /// choice and its use.
+    fn choose_other_port(&self, n: usize) -> std::io::Result<()> {
+        let listen = std::net::UdpSocket::bind("127.0.0.1:0")?.local_addr()?;
+        self.steward_by_addr.borrow_mut().insert(listen, n);
+        self.sockets.borrow_mut()[n].listen = listen;
         Ok(())
     }
 
-    /// Starts a steward, with another port where the one found free is somebody else's by then.
+    /// Starts a steward by `start`, which is called again with another port each time it fails: another process may have taken
+    /// the port by then.
     pub async fn started<T, E: From<std::io::Error>>(
         &self,
         n: usize,
         start: impl AsyncFn() -> Result<T, E>,
     ) -> Result<T, E> {
-        /// Tries to get a port that stays free until the steward binds it.
-        const TRIES: usize = 8;
-        for _ in 1..TRIES {
+        /// Attempts to get a port that stays free until the steward binds it.
+        const MAX_ATTEMPTS: usize = 8;
+        for _ in 1..MAX_ATTEMPTS {
             if let Ok(started) = start().await {
                 return Ok(started);
             }
-            self.another_port(n)?;
+            self.choose_other_port(n)?;
         }
         start().await
     }
 
-    async fn carry(self: Rc<Datagrams>, to: usize, socket: &Rc<UdpSocket>) {
-        let shown = socket.local_addr().ok();
+    /// Relays all datagrams that arrive at the socket for steward `to`.
+    async fn relay(self: Rc<Datagrams>, to: usize, socket: &Rc<UdpSocket>) {
+        let advertised = socket.local_addr().ok();
         let mut buffer = [0; 512];
         loop {
             let Ok((length, from)) = socket.recv_from(&mut buffer).await else { continue };
-            // From nobody that is known here: a person who asks a steward, or another day on this machine.
-            let Some(from) = self.owners.borrow().get(&from).copied() else { continue };
-            self.came.set(self.came.get() + 1);
-            if let Some(crossed) = &self.crossed {
-                crossed.borrow_mut().push(Crossed { at: self.now(), from, to, bytes: length });
+            // Not from a steward of this day: a person who queries a steward, or another day on this machine.
+            let Some(from) = self.steward_by_addr.borrow().get(&from).copied() else { continue };
+            self.received.set(self.received.get() + 1);
+            if let Some(log) = &self.log {
+                log.borrow_mut().push(SentDatagram { at: self.now(), from, to, bytes: length });
             }
-            let place = self.places.borrow()[to].clone();
+            let steward = self.sockets.borrow()[to].clone();
             let way = self.ways.of(End::Steward(from), End::Steward(to));
-            let closed = way.cut + way.closed > 0 || Some(place.shown) != shown;
-            if closed || self.ways.chance(way.loss) {
+            let closed = way.cut + way.closed > 0 || Some(steward.advertised) != advertised;
+            if closed || self.ways.happens(way.loss) {
                 self.lost.set(self.lost.get() + 1);
                 continue;
             }
-            let source = self.places.borrow()[from].near.clone();
-            let times = 1 + usize::from(self.ways.chance(way.doubled));
-            for _ in 0..times {
+            let source = self.sockets.borrow()[from].socket.clone();
+            let copies = 1 + usize::from(self.ways.happens(way.doubled));
+            for _ in 0..copies {
                 if way.late.is_zero() {
-                    // As on a network, what the receiver has no room for is lost.
-                    let _ = source.try_send_to(&buffer[..length], place.own);
+                    // As on a network, a datagram is lost if the receiver's buffer is full.
+                    let _ = source.try_send_to(&buffer[..length], steward.listen);
                     continue;
                 }
-                let (late, datagram) = (self.ways.up_to(way.late), buffer[..length].to_vec());
+                let (late, datagram) = (self.ways.random_delay(way.late), buffer[..length].to_vec());
                 let source = source.clone();
                 spawn_local(async move {
                     tokio::time::sleep(late).await;
-                    let _ = source.send_to(&datagram, place.own).await;
+                    let _ = source.send_to(&datagram, steward.listen).await;
                 });
             }
         }
@@ -146,28 +151,30 @@
         self.began.elapsed().as_millis() as u64
     }
 
-    /// Where others reach it, and where it listens.
+    /// The addresses at which the others reach the steward and at which it listens.
     pub fn of(&self, n: usize) -> (SocketAddr, SocketAddr) {
-        let place = &self.places.borrow()[n];
-        (place.shown, place.own)
+        let steward = &self.sockets.borrow()[n];
+        (steward.advertised, steward.listen)
     }
 
+    /// The numbers of datagrams sent and lost, as text.
     pub fn counts(&self) -> String {
-        format!("{} sent, {} lost", self.came.get(), self.lost.get())
+        format!("{} sent, {} lost", self.received.get(), self.lost.get())
     }
 
-    /// What the settings of a steward say of its view: all others are known at the start.
+    /// The `fleet` section of a steward's settings, with all stewards as peers.
     pub fn settings(&self, n: usize) -> serde_json::Value {
-        let (shown, own) = self.of(n);
-        let peers: Vec<String> = self.places.borrow().iter().map(|place| place.shown.to_string()).collect();
+        let (advertised, listen) = self.of(n);
+        let peers: Vec<String> =
+            self.sockets.borrow().iter().map(|steward| steward.advertised.to_string()).collect();
         serde_json::json!({
-            "name": format!("steward-{n}"), "listen": own.to_string(), "address": shown.to_string(), "key": "fleet.key",
+            "name": format!("steward-{n}"), "listen": listen.to_string(), "address": advertised.to_string(), "key": "fleet.key",
             "peers": peers,
         })
     }
 }
 
-/// Makes the file `fleet.key` with the stewards' key.
+/// Writes the file `fleet.key` with the stewards' shared key, readable by its owner only, and returns its path.
 pub fn make_key(dir: &std::path::Path) -> std::io::Result<std::path::PathBuf> {
     use std::os::unix::fs::PermissionsExt as _;
     let key = dir.join("fleet.key");
--- a/crates/lab/src/ways/mod.rs
+++ b/crates/lab/src/ways/mod.rs
@@ -1,5 +1,5 @@
-//! The ways between the processes of a day: each pair and each direction by itself is cut, closed, loses, doubles, is late,
-//! out of order or slow. Datagrams and streams go by the same ways.
+//! The proxied links between the processes of a day. Each direction of each pair can be cut or closed, and can lose,
+//! duplicate, delay, reorder or throttle what it carries. Datagrams and streams use the same links.
 
 mod datagrams;
 mod streams;
@@ -13,10 +13,10 @@
 
 use tokio::sync::Notify;
 
-pub use datagrams::{make_key, Crossed, Datagrams};
+pub use datagrams::{make_key, Datagrams, SentDatagram};
 pub use streams::{Seen, Streams};
 
-/// Whose end of a way.
+/// An endpoint of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum End {
     Steward(usize),
@@ -24,36 +24,38 @@
     Store,
     /// A site's agent.
     Agent(usize),
-    /// Where effects of jobs land.
+    /// The effects service, which receives the calls of jobs.
     Effects,
 }
 
-/// One direction between two ends.
+/// The state of a link in one direction.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Way {
-    /// Cuts that hold at the moment: nothing passes. A stream stays open and silent, as its ends send again until somebody
-    /// gives up; no new one comes about.
+    /// The number of cuts in effect: while there are any, nothing passes. An open stream stays open without traffic, as if its
+    /// endpoints kept retransmitting until one of them gives up; new connections wait.
     pub cut: usize,
-    /// Likewise, but streams end and new ones find nobody, as where a host answers that there is no such port.
+    /// Like `cut`, but open streams are closed and new connections are refused, as by a host without such a port.
     pub closed: usize,
-    /// The share of pieces that is lost. A stream sends those again, later.
+    /// The share of pieces that are lost. On a stream they are retransmitted later.
     pub loss: f64,
-    /// The share of datagrams that come twice.
+    /// The share of datagrams that are delivered twice.
     pub doubled: f64,
-    /// Each piece is up to so much later; datagrams get out of order by it, streams don't.
+    /// The longest random delay of a piece. It reorders datagrams but not streams.
     pub late: Duration,
-    /// Bytes a second that pass, where it is slow.
+    /// Throughput limit in bytes per second, if any.
     pub pace: Option<u32>,
 }
 
-/// All ways of a day.
+/// All links of a day.
 pub struct Ways {
     ways: RefCell<BTreeMap<(End, End), Way>>,
-    /// As a way is between two stewards while nothing befalls it. Other ways are whole.
+    /// State of a link between two stewards without an injected fault. All other links have no loss or delay then.
     baseline: Way,
+    /// Notified after each change of a link.
     changed: Notify,
-    chance: RefCell<fastrand::Rng>,
-    streams: Cell<u64>,
+    rng: RefCell<fastrand::Rng>,
+    /// The number of the next stream.
+    next_stream: Cell<u64>,
 }
 
 impl Ways {
@@ -62,11 +64,12 @@
             ways: RefCell::default(),
             baseline,
             changed: Notify::new(),
-            chance: RefCell::new(fastrand::Rng::with_seed(seed)),
-            streams: Cell::new(0),
+            rng: RefCell::new(fastrand::Rng::with_seed(seed)),
+            next_stream: Cell::new(0),
         })
     }
 
+    /// The state of a link without an injected fault.
     pub fn baseline(&self, from: End, to: End) -> Way {
         match (from, to) {
             (End::Steward(_), End::Steward(_)) => self.baseline,
@@ -74,12 +77,13 @@
         }
     }
 
+    /// The present state of a link.
     pub fn of(&self, from: End, to: End) -> Way {
-        let named = self.ways.borrow().get(&(from, to)).copied();
-        named.unwrap_or_else(|| self.baseline(from, to))
+        let changed_link = self.ways.borrow().get(&(from, to)).copied();
+        changed_link.unwrap_or_else(|| self.baseline(from, to))
     }
 
-    /// Changes ways, each direction by itself.
+    /// Changes links, each in the given direction only.
     pub fn change(&self, ways: impl IntoIterator<Item = (End, End)>, change: impl Fn(&mut Way)) {
         for (from, to) in ways {
             let baseline = self.baseline(from, to);
@@ -88,38 +92,39 @@
         self.changed.notify_waiters();
     }
 
-    /// The same for both directions between these.
+    /// Changes both directions of the links between these pairs.
     pub fn change_between(&self, pairs: impl IntoIterator<Item = (End, End)>, change: impl Fn(&mut Way)) {
         self.change(pairs.into_iter().flat_map(|(a, b)| [(a, b), (b, a)]), change);
     }
 
-    /// Whether something passes both ways.
+    /// Returns true if the link is open in both directions.
     pub fn open_between(&self, a: End, b: End) -> bool {
         let open = |way: Way| way.cut == 0 && way.closed == 0;
         open(self.of(a, b)) && open(self.of(b, a))
     }
 
-    /// Returns once this is so.
-    async fn until(&self, so: impl Fn(&Ways) -> bool) {
+    /// Waits until the condition holds.
+    async fn wait_until(&self, condition: impl Fn(&Ways) -> bool) {
         loop {
-            // Made before the look, so that no change falls between the two.
+            // Registered before the check, so that no change in between is missed.
             let changed = self.changed.notified();
-            if so(self) {
+            if condition(self) {
                 return;
             }
             changed.await;
         }
     }
 
-    fn chance(&self, share: f64) -> bool {
-        share > 0.0 && self.chance.borrow_mut().f64() < share
+    /// Draws whether an event of this probability happens.
+    fn happens(&self, probability: f64) -> bool {
+        probability > 0.0 && self.rng.borrow_mut().f64() < probability
     }
 
-    /// A span up to this, drawn.
-    fn up_to(&self, most: Duration) -> Duration {
-        if most.is_zero() {
-            return most;
+    /// Draws a delay of up to `max`.
+    fn random_delay(&self, max: Duration) -> Duration {
+        if max.is_zero() {
+            return max;
         }
-        most.mul_f64(self.chance.borrow_mut().f64())
+        max.mul_f64(self.rng.borrow_mut().f64())
     }
 }
--- a/crates/lab/src/ways/streams.rs
+++ b/crates/lab/src/ways/streams.rs
@@ -1,4 +1,4 @@
-//! Streams between two processes, by the lab: pieces both ways, each direction as its way is.
+//! Relays streams between two processes, piece by piece; each direction behaves as its link does.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -16,14 +16,18 @@
 
 use super::{End, Way, Ways};
 
-/// What is seen of a stream.
+/// An event of a proxied stream.
 pub enum Seen<'a> {
     Opened,
-    Piece { up: bool, bytes: &'a [u8] },
+    /// A piece was relayed; `up` is true if it went in the direction of the connection.
+    Piece {
+        up: bool,
+        bytes: &'a [u8],
+    },
     Shut,
 }
 
-/// How a stream is cut into pieces: whole frames, or bytes as they come.
+/// A codec that splits a stream into pieces: whole frames, or bytes as they are read.
 pub trait Pieces:
     Decoder<Item = BytesMut, Error = io::Error> + Encoder<Bytes, Error = io::Error> + 'static
 {
@@ -34,27 +38,29 @@
 {
 }
 
-/// The streams that one process opens to another.
+/// A proxy for the streams that one process opens to another.
 pub struct Streams {
-    /// Where the lab listens for them.
+    /// Where the proxy listens.
     pub address: SocketAddr,
     from: End,
     to: End,
     ways: Rc<Ways>,
-    /// Where they go; none while nobody is there.
+    /// Where the streams are relayed to; `None` while there is no such process.
     target: Rc<Cell<Option<SocketAddr>>>,
-    /// Told of each, by its number among all of the day.
+    /// Called with each event and the stream's number, which is unique within the day.
     watch: Rc<dyn Fn(u64, Seen)>,
+    /// The relay tasks of open streams, by stream number.
     open: RefCell<Vec<(u64, AbortHandle)>>,
 }
 
-/// Pieces of a stream under way in one direction; then its reading waits, as with a full window.
-const UNDER_WAY: usize = 256;
+/// Pieces of a stream that are in flight in one direction. Beyond that the relay stops reading, as with a full TCP window.
+const MAX_IN_FLIGHT: usize = 256;
 
-/// A lost piece comes again this much later, and twice that when it is lost again: the least that systems wait.
-const AGAIN: Duration = Duration::from_millis(200);
+/// A lost piece is retransmitted after this time, doubled with each further loss. It is the least that operating systems wait.
+const RETRANSMIT_TIMEOUT: Duration = Duration::from_millis(200);
 
 impl Streams {
+    /// Starts the proxy on a free port. `pieces` makes a codec for each side of each direction.
     pub async fn listen<C: Pieces>(
         ways: &Rc<Ways>,
         (from, to): (End, End),
@@ -84,7 +90,7 @@
         Ok(streams)
     }
 
-    /// Ends all streams; new ones get through unless the way is closed.
+    /// Closes all open streams; new connections are accepted unless the link is closed.
     pub fn cut(&self) {
         for (stream, task) in self.open.borrow_mut().drain(..) {
             if !task.is_finished() {
@@ -98,16 +104,16 @@
         self.ways.of(self.from, self.to).closed > 0 || self.ways.of(self.to, self.from).closed > 0
     }
 
-    fn open<C: Pieces>(self: &Rc<Streams>, near: TcpStream, pieces: impl Fn() -> C) {
-        let stream = self.ways.streams.get();
-        self.ways.streams.set(stream + 1);
+    fn open<C: Pieces>(self: &Rc<Streams>, client: TcpStream, pieces: impl Fn() -> C) {
+        let stream = self.ways.next_stream.get();
+        self.ways.next_stream.set(stream + 1);
         (self.watch)(stream, Seen::Opened);
         let (up, down) = ((pieces(), pieces()), (pieces(), pieces()));
         let streams = self.clone();
         let task = spawn_local(async move {
             tokio::select! {
-                () = streams.ways.until(|_| streams.is_closed()) => {}
-                () = streams.carry(stream, near, up, down) => {}
+                () = streams.ways.wait_until(|_| streams.is_closed()) => {}
+                () = streams.relay(stream, client, up, down) => {}
             }
             (streams.watch)(stream, Seen::Shut);
         });
@@ -116,23 +122,26 @@
         open.push((stream, task.abort_handle()));
     }
 
-    async fn carry<C: Pieces>(&self, stream: u64, near: TcpStream, up: (C, C), down: (C, C)) {
-        self.ways.until(|ways| ways.of(self.from, self.to).cut + ways.of(self.to, self.from).cut == 0).await;
+    /// Connects to the target and relays both directions until one of them ends.
+    async fn relay<C: Pieces>(&self, stream: u64, client: TcpStream, up: (C, C), down: (C, C)) {
+        self.ways
+            .wait_until(|ways| ways.of(self.from, self.to).cut + ways.of(self.to, self.from).cut == 0)
+            .await;
         let Some(target) = self.target.get() else { return };
-        let Ok(far) = TcpStream::connect(target).await else { return };
-        let _ = (near.set_nodelay(true), far.set_nodelay(true));
-        let (from_near, to_near) = near.into_split();
-        let (from_far, to_far) = far.into_split();
-        let up = self.carry_one(
+        let Ok(server) = TcpStream::connect(target).await else { return };
+        let _ = (client.set_nodelay(true), server.set_nodelay(true));
+        let (from_client, to_client) = client.into_split();
+        let (from_server, to_server) = server.into_split();
+        let up = self.relay_one_way(
             (self.from, self.to),
-            FramedRead::new(from_near, up.0),
-            FramedWrite::new(to_far, up.1),
+            FramedRead::new(from_client, up.0),
+            FramedWrite::new(to_server, up.1),
             |bytes| (self.watch)(stream, Seen::Piece { up: true, bytes }),
         );
-        let down = self.carry_one(
+        let down = self.relay_one_way(
             (self.to, self.from),
-            FramedRead::new(from_far, down.0),
-            FramedWrite::new(to_near, down.1),
+            FramedRead::new(from_server, down.0),
+            FramedWrite::new(to_client, down.1),
             |bytes| (self.watch)(stream, Seen::Piece { up: false, bytes }),
         );
         tokio::select! {
@@ -141,9 +150,9 @@
         }
     }
 
-    /// One direction, until either end of it is over. A piece is seen where it comes from on its way up, as it leaves for
-    /// the steward or the store, and once it is written on its way down: no later than it acts, and no sooner.
-    async fn carry_one<C: Pieces>(
+    /// Relays one direction until either side ends it. The watcher is called just before a piece is sent up, to the steward or
+    /// the store, and right after a piece was sent down: no later than the piece can take effect, and no sooner.
+    async fn relay_one_way<C: Pieces>(
         &self,
         (from, to): (End, End),
         mut read: FramedRead<impl tokio::io::AsyncRead + Unpin, C>,
@@ -151,20 +160,20 @@
         seen: impl Fn(&[u8]),
     ) {
         let ways = &self.ways;
-        let passes = move || ways.until(move |ways| ways.of(from, to).cut == 0);
-        let (under_way, mut due) = mpsc::channel::<(Instant, Bytes)>(UNDER_WAY);
+        let link_open = move || ways.wait_until(move |ways| ways.of(from, to).cut == 0);
+        let (in_flight, mut due) = mpsc::channel::<(Instant, Bytes)>(MAX_IN_FLIGHT);
         let reading = async move {
             let mut last = Instant::now();
             loop {
-                // Reading waits too, so that the sender's buffers fill as they would.
-                passes().await;
+                // Reading stops as well, so that the sender's buffers fill as they would on a real link.
+                link_open().await;
                 let Some(Ok(body)) = read.next().await else { return };
                 let way = self.ways.of(from, to);
                 last = last.max(Instant::now() + self.delay(&way));
                 last += way.pace.map_or(Duration::ZERO, |pace| {
                     Duration::from_secs_f64(body.len() as f64 / f64::from(pace.max(1)))
                 });
-                if under_way.send((last, body.freeze())).await.is_err() {
+                if in_flight.send((last, body.freeze())).await.is_err() {
                     return;
                 }
             }
@@ -174,8 +183,8 @@
                 if at > Instant::now() {
                     tokio::time::sleep_until(at).await;
                 }
-                // What was on its way when it was cut is held too.
-                passes().await;
+                // Pieces in flight at the time of a cut are held back too.
+                link_open().await;
                 let up = (from, to) == (self.from, self.to);
                 if up {
                     seen(&body);
@@ -194,16 +203,17 @@
             () = reading => {}
             () = &mut writing => return,
         }
-        // What was read before the end still arrives.
+        // Pieces read before the end are still delivered.
         writing.await;
     }
 
+    /// Draws the delay of a piece, including its retransmissions.
     fn delay(&self, way: &Way) -> Duration {
-        let mut delay = self.ways.up_to(way.late);
-        let mut again = AGAIN;
-        while self.ways.chance(way.loss.min(0.99)) {
-            delay += again;
-            again = (2 * again).min(64 * AGAIN);
+        let mut delay = self.ways.random_delay(way.late);
+        let mut retransmit_after = RETRANSMIT_TIMEOUT;
+        while self.ways.happens(way.loss.min(0.99)) {
+            delay += retransmit_after;
+            retransmit_after = (2 * retransmit_after).min(64 * RETRANSMIT_TIMEOUT);
         }
         delay
     }
--- a/crates/lab/src/ways/tests.rs
+++ b/crates/lab/src/ways/tests.rs
@@ -1,4 +1,4 @@
-//! What is said of a way is what happens on it: without this a day could keep all rules as nothing befell it.
+//! Checks that links behave as their state says: otherwise a day could keep all rules because no fault took effect.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -11,23 +11,23 @@
 
 use super::{Datagrams, End, Seen, Streams, Way, Ways};
 
-const NEAR: End = End::Forwarder(0);
-const FAR: End = End::Steward(0);
+const CLIENT: End = End::Forwarder(0);
+const SERVER: End = End::Steward(0);
 
 fn block_on(future: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    tokio::task::LocalSet::new().block_on(&runtime.expect("a runtime"), future);
+    tokio::task::LocalSet::new().block_on(&runtime.expect("the runtime is built"), future);
 }
 
-/// Whether it went up, and its bytes.
+/// True if the piece went up, and its bytes.
 type Piece = (bool, Vec<u8>);
 
-/// A stream through the lab, both its ends, and how often one was seen to shut.
+/// A stream proxy, the listener behind it, the number of streams closed and the pieces relayed.
 struct Rig {
     ways: Rc<Ways>,
     streams: Rc<Streams>,
     listener: TcpListener,
-    shut: Rc<Cell<usize>>,
+    closed_streams: Rc<Cell<usize>>,
     pieces: Rc<RefCell<Vec<Piece>>>,
 }
 
@@ -36,21 +36,21 @@
         let ways = Ways::new(1, Way::default());
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
         let target = Rc::new(Cell::new(listener.local_addr().ok()));
-        let (shut, pieces) = (Rc::new(Cell::new(0)), Rc::new(RefCell::new(Vec::new())));
-        let (counted, kept) = (shut.clone(), pieces.clone());
+        let (closed_streams, pieces) = (Rc::new(Cell::new(0)), Rc::new(RefCell::new(Vec::new())));
+        let (counted, kept) = (closed_streams.clone(), pieces.clone());
         let watch = Rc::new(move |_, seen: Seen| match seen {
             Seen::Shut => counted.set(counted.get() + 1),
             Seen::Piece { up, bytes } => kept.borrow_mut().push((up, bytes.to_vec())),
             Seen::Opened => {}
         });
-        let streams = Streams::listen(&ways, (NEAR, FAR), target, BytesCodec::new, watch).await;
-        Rig { ways, streams: streams.expect("listens"), listener, shut, pieces }
+        let streams = Streams::listen(&ways, (CLIENT, SERVER), target, BytesCodec::new, watch).await;
+        Rig { ways, streams: streams.expect("the proxy listens"), listener, closed_streams, pieces }
     }
 
     async fn open(&self) -> (TcpStream, TcpStream) {
-        let near = TcpStream::connect(self.streams.address).await.expect("connected");
-        let (far, _) = self.listener.accept().await.expect("accepted");
-        (near, far)
+        let client = TcpStream::connect(self.streams.address).await.expect("connected");
+        let (server, _) = self.listener.accept().await.expect("accepted");
+        (client, server)
     }
 }
 
@@ -60,119 +60,121 @@
     assert_eq!(bytes, sent);
 }
 
-/// Whether it stays open and silent for a while. Not a bound on time: what is held is held however long one looks.
+/// Returns true if the stream stays open without data for a while. The duration is no bound: held data stays held for as long
+/// as one waits.
 async fn is_silent(at: &mut TcpStream) -> bool {
     tokio::time::timeout(Duration::from_millis(100), at.read_u8()).await.is_err()
 }
 
 #[test]
-fn a_cut_holds_one_direction_and_lets_go_of_all_when_it_ends() {
+fn cut_holds_one_direction_and_releases_all_data_when_it_ends() {
     block_on(async {
         let rig = Rig::new().await;
-        let (mut near, mut far) = rig.open().await;
-        rig.ways.change([(FAR, NEAR)], |way| way.cut += 1);
-        near.write_all(b"up").await.expect("written");
-        arrives(&mut far, b"up").await;
-        far.write_all(b"down").await.expect("written");
-        assert!(is_silent(&mut near).await);
-        rig.ways.change([(FAR, NEAR)], |way| way.cut -= 1);
-        arrives(&mut near, b"down").await;
+        let (mut client, mut server) = rig.open().await;
+        rig.ways.change([(SERVER, CLIENT)], |way| way.cut += 1);
+        client.write_all(b"up").await.expect("written");
+        arrives(&mut server, b"up").await;
+        server.write_all(b"down").await.expect("written");
+        assert!(is_silent(&mut client).await);
+        rig.ways.change([(SERVER, CLIENT)], |way| way.cut -= 1);
+        arrives(&mut client, b"down").await;
         assert_eq!(*rig.pieces.borrow(), [(true, b"up".to_vec()), (false, b"down".to_vec())]);
     });
 }
 
 #[test]
-fn a_stream_that_is_opened_in_a_cut_comes_about_after_it() {
+fn stream_opened_during_a_cut_is_connected_after_it() {
     block_on(async {
         let rig = Rig::new().await;
-        rig.ways.change([(NEAR, FAR)], |way| way.cut += 1);
-        let mut near = TcpStream::connect(rig.streams.address).await.expect("connected");
-        near.write_all(b"hello").await.expect("written");
-        let waits = tokio::time::timeout(Duration::from_millis(100), rig.listener.accept());
-        assert!(waits.await.is_err());
-        rig.ways.change([(NEAR, FAR)], |way| way.cut -= 1);
-        let (mut far, _) = rig.listener.accept().await.expect("accepted");
-        arrives(&mut far, b"hello").await;
+        rig.ways.change([(CLIENT, SERVER)], |way| way.cut += 1);
+        let mut client = TcpStream::connect(rig.streams.address).await.expect("connected");
+        client.write_all(b"hello").await.expect("written");
+        let accepted = tokio::time::timeout(Duration::from_millis(100), rig.listener.accept());
+        assert!(accepted.await.is_err());
+        rig.ways.change([(CLIENT, SERVER)], |way| way.cut -= 1);
+        let (mut server, _) = rig.listener.accept().await.expect("accepted");
+        arrives(&mut server, b"hello").await;
     });
 }
 
 #[test]
-fn what_is_closed_ends_and_is_refused_until_the_last_to_close_it_opens_it() {
+fn closed_link_ends_streams_and_refuses_new_ones_until_its_last_closure_ends() {
     block_on(async {
         let rig = Rig::new().await;
-        let (mut near, _far) = rig.open().await;
-        rig.ways.change([(FAR, NEAR)], |way| way.closed += 2);
-        assert!(matches!(near.read(&mut [0; 8]).await, Ok(0) | Err(_)));
-        rig.ways.change([(FAR, NEAR)], |way| way.closed -= 1);
+        let (mut client, _server) = rig.open().await;
+        rig.ways.change([(SERVER, CLIENT)], |way| way.closed += 2);
+        assert!(matches!(client.read(&mut [0; 8]).await, Ok(0) | Err(_)));
+        rig.ways.change([(SERVER, CLIENT)], |way| way.closed -= 1);
         let mut refused = TcpStream::connect(rig.streams.address).await.expect("connected");
         assert!(matches!(refused.read(&mut [0; 8]).await, Ok(0) | Err(_)));
-        rig.ways.change([(FAR, NEAR)], |way| way.closed -= 1);
-        let (mut near, mut far) = rig.open().await;
-        near.write_all(b"again").await.expect("written");
-        arrives(&mut far, b"again").await;
-        assert_eq!(rig.shut.get(), 1);
+        rig.ways.change([(SERVER, CLIENT)], |way| way.closed -= 1);
+        let (mut client, mut server) = rig.open().await;
+        client.write_all(b"again").await.expect("written");
+        arrives(&mut server, b"again").await;
+        assert_eq!(rig.closed_streams.get(), 1);
     });
 }
 
 #[test]
-fn what_was_sent_before_an_end_arrives_on_a_slow_and_late_way_in_order() {
+fn data_sent_before_the_end_arrives_in_order_on_a_slow_lossy_link() {
     block_on(async {
         let rig = Rig::new().await;
-        let (mut near, mut far) = rig.open().await;
-        let bad =
+        let (mut client, mut server) = rig.open().await;
+        let degrade =
             |way: &mut Way| (way.loss, way.late, way.pace) = (0.3, Duration::from_millis(20), Some(20_000));
-        rig.ways.change([(FAR, NEAR)], bad);
+        rig.ways.change([(SERVER, CLIENT)], degrade);
         let began = tokio::time::Instant::now();
         let sent: Vec<u8> = (0..2_000).map(|n| n as u8).collect();
-        far.write_all(&sent).await.expect("written");
-        drop(far);
-        arrives(&mut near, &sent).await;
+        server.write_all(&sent).await.expect("written");
+        drop(server);
+        arrives(&mut client, &sent).await;
         assert!(began.elapsed() >= Duration::from_millis(100), "2,000 bytes at 20,000 a second");
-        assert_eq!(near.read(&mut [0; 8]).await.expect("ended"), 0);
+        assert_eq!(client.read(&mut [0; 8]).await.expect("the stream ends without an error"), 0);
     });
 }
 
-/// Two stewards' sockets, and what came to the second of so many datagrams.
-async fn datagrams(way: Way, sent: u8) -> (Vec<u8>, u64) {
+/// Sends datagrams from one steward to another over a link in this state. Returns those that arrived and the number lost.
+async fn relay_datagrams(way: Way, sent: u8) -> (Vec<u8>, u64) {
     let ways = Ways::new(1, Way::default());
     ways.change([(End::Steward(0), End::Steward(1))], |to| *to = way);
-    let between = Datagrams::open(&ways, 2, true).await.expect("open");
-    let own = [UdpSocket::bind(between.of(0).1).await, UdpSocket::bind(between.of(1).1).await];
-    let [Ok(first), Ok(second)] = own else { panic!("the ports found free are taken") };
+    let proxy = Datagrams::open(&ways, 2, true).await.expect("open");
+    let sockets = [UdpSocket::bind(proxy.of(0).1).await, UdpSocket::bind(proxy.of(1).1).await];
+    let [Ok(first), Ok(second)] = sockets else { panic!("the chosen ports are taken by other processes") };
     for n in 0..sent {
-        first.send_to(&[n], between.of(1).0).await.expect("sent");
-        // One at a time, so that no buffer is too small.
-        while between.came.get() <= u64::from(n) {
+        first.send_to(&[n], proxy.of(1).0).await.expect("sent");
+        // One at a time, so that no buffer overflows.
+        while proxy.received.get() <= u64::from(n) {
             tokio::task::yield_now().await;
         }
     }
-    let mut came = Vec::new();
+    let mut received = Vec::new();
     let mut byte = [0; 1];
-    // Late ones come within 20 ms.
+    // Delays in these tests are at most 20 ms.
     while let Ok(Ok((_, from))) =
         tokio::time::timeout(Duration::from_millis(200), second.recv_from(&mut byte)).await
     {
-        assert_eq!(from, between.of(0).0, "answers take the way back");
-        came.push(byte[0]);
+        assert_eq!(from, proxy.of(0).0, "datagrams come from the sender's address in the lab");
+        received.push(byte[0]);
     }
-    second.send_to(&[0], between.of(0).0).await.expect("sent");
-    first.recv_from(&mut byte).await.expect("the way back is another");
-    (came, between.lost.get())
+    second.send_to(&[0], proxy.of(0).0).await.expect("sent");
+    first.recv_from(&mut byte).await.expect("the reverse link is open");
+    (received, proxy.lost.get())
 }
 
 #[test]
-fn datagrams_are_lost_doubled_and_out_of_order_as_their_way_is() {
+fn datagrams_are_lost_duplicated_and_reordered_as_their_link_says() {
     block_on(async {
-        let whole: Vec<u8> = (0..100).collect();
-        assert_eq!(datagrams(Way::default(), 100).await, (whole.clone(), 0));
-        assert_eq!(datagrams(Way { cut: 1, ..Way::default() }, 100).await, (Vec::new(), 100));
-        let (came, lost) = datagrams(Way { loss: 0.5, ..Way::default() }, 100).await;
-        assert!((20..80).contains(&lost) && came.len() as u64 == 100 - lost);
-        let (came, _) = datagrams(Way { doubled: 0.5, ..Way::default() }, 100).await;
-        assert!((120..180).contains(&came.len()));
-        let (mut came, _) = datagrams(Way { late: Duration::from_millis(20), ..Way::default() }, 100).await;
-        assert_ne!(came, whole, "out of order");
-        came.sort_unstable();
-        assert_eq!(came, whole);
+        let all: Vec<u8> = (0..100).collect();
+        assert_eq!(relay_datagrams(Way::default(), 100).await, (all.clone(), 0));
+        assert_eq!(relay_datagrams(Way { cut: 1, ..Way::default() }, 100).await, (Vec::new(), 100));
+        let (received, lost) = relay_datagrams(Way { loss: 0.5, ..Way::default() }, 100).await;
+        assert!((20..80).contains(&lost) && received.len() as u64 == 100 - lost);
+        let (received, _) = relay_datagrams(Way { doubled: 0.5, ..Way::default() }, 100).await;
+        assert!((120..180).contains(&received.len()));
+        let (mut received, _) =
+            relay_datagrams(Way { late: Duration::from_millis(20), ..Way::default() }, 100).await;
+        assert_ne!(received, all, "reordered");
+        received.sort_unstable();
+        assert_eq!(received, all);
     });
 }
