--- a/crates/lab/src/fleet/judge.rs
+++ b/crates/lab/src/fleet/judge.rs
@@ -54,8 +54,8 @@
         let shows = |sample: &&ViewSample| {
             format!("steward-{} shows {:?}", sample.of, sample.shown.keys().collect::<Vec<_>>())
         };
-        let breaks = last.values().map(shows).chain(["no faults were injected".to_owned()]).collect();
-        Verdict::of(vec![("V1 settles", "at the start".to_owned(), breaks)])
+        let violations = last.values().map(shows).chain(["no faults were injected".to_owned()]).collect();
+        Verdict::of(vec![("V1 settles", "at the start".to_owned(), violations)])
     }
 
     /// Adds the longest waits for a CPU core.
@@ -66,21 +66,25 @@
     /// Returns the names of the broken rules.
     #[cfg(test)]
     pub fn broken(&self) -> Vec<&'static str> {
-        self.rules.iter().filter(|(_, _, breaks)| !breaks.is_empty()).map(|(rule, ..)| *rule).collect()
+        self.rules
+            .iter()
+            .filter(|(_, _, violations)| !violations.is_empty())
+            .map(|(rule, ..)| *rule)
+            .collect()
     }
 
     /// Returns true if no rule is broken.
     pub fn kept(&self) -> bool {
-        self.rules.iter().all(|(_, _, breaks)| breaks.is_empty())
+        self.rules.iter().all(|(_, _, violations)| violations.is_empty())
     }
 
     /// The verdict as text, with the first violations of each rule.
     pub fn report(&self) -> String {
         let mut text = String::new();
-        for (rule, figure, breaks) in &self.rules {
-            let result = if breaks.is_empty() { "kept" } else { "BROKEN" };
-            text.push_str(&format!("{rule}: {result}, {figure}\n"));
-            breaks.iter().take(5).for_each(|what| text.push_str(&format!("    {what}\n")));
+        for (rule, summary, violations) in &self.rules {
+            let result = if violations.is_empty() { "kept" } else { "BROKEN" };
+            text.push_str(&format!("{rule}: {result}, {summary}\n"));
+            violations.iter().take(5).for_each(|what| text.push_str(&format!("    {what}\n")));
         }
         if !self.kept() {
             self.waits.iter().for_each(|what| text.push_str(&format!("    {what}\n")));
@@ -89,7 +93,7 @@
     }
 }
 
-fn name(n: usize) -> String {
+fn steward_name(n: usize) -> String {
     format!("steward-{n}")
 }
 
@@ -107,9 +111,9 @@
     let seconds = |ms: u64| ms as f64 / 1_000.0;
 
     // V1: all stewards that reach each other show the same view, and it is right.
-    let mut breaks = Vec::new();
+    let mut violations = Vec::new();
     let mut groups = 0;
-    let mut times: Vec<f64> = Vec::new();
+    let mut settling_times: Vec<f64> = Vec::new();
     for check in checkpoints {
         for group in &check.reachable_groups {
             let expected: Vec<usize> =
@@ -119,11 +123,12 @@
                 let near = samples.iter().filter(|sample| sample.of == n);
                 near.min_by_key(|sample| (sample.at.abs_diff(check.at), sample.at))
             };
-            let seen: Vec<(usize, Option<&ViewSample>)> = expected.iter().map(|&n| (n, of(n))).collect();
+            let nearest: Vec<(usize, Option<&ViewSample>)> = expected.iter().map(|&n| (n, of(n))).collect();
             groups += 1;
-            let is_unreliable = |shown: &str| day.judge.unreliable_members.iter().any(|&n| name(n) == shown);
+            let is_unreliable =
+                |shown: &str| day.judge.unreliable_members.iter().any(|&n| steward_name(n) == shown);
             let truth: Vec<String> = {
-                let mut truth: Vec<String> = expected.iter().map(|&n| name(n)).collect();
+                let mut truth: Vec<String> = expected.iter().map(|&n| steward_name(n)).collect();
                 truth.sort();
                 truth
             };
@@ -141,54 +146,54 @@
                 .map(|sample| sample.at)
                 .max();
             if let Some(late) = late.filter(|_| expected.len() > 1) {
-                times.push(seconds(late - check.since));
+                settling_times.push(seconds(late - check.since));
             }
-            for (n, sample) in &seen {
+            for (n, sample) in &nearest {
                 let Some(sample) = sample.filter(|sample| sample.at.abs_diff(check.at) < 5_000) else {
-                    breaks.push(format!("{:.1} s: steward-{n} has no sample", seconds(check.at)));
+                    violations.push(format!("{:.1} s: steward-{n} has no sample", seconds(check.at)));
                     continue;
                 };
                 let shown = names(sample);
                 let alone = expected.len() == 1 && sample.cut_off;
                 if shown != truth && !alone {
-                    breaks.push(format!(
+                    violations.push(format!(
                         "{:.1} s: steward-{n} shows {shown:?}, not {truth:?}",
                         seconds(check.at)
                     ));
                 }
             }
-            let views: Vec<&ViewSample> = seen.iter().filter_map(|(_, sample)| *sample).collect();
+            let views: Vec<&ViewSample> = nearest.iter().filter_map(|(_, sample)| *sample).collect();
             if day.judge.unreliable_members.is_empty()
                 && views.iter().any(|sample| sample.digest != views[0].digest)
             {
-                breaks.push(format!("{:.1} s: {group:?} show different views", seconds(check.at)));
+                violations.push(format!("{:.1} s: {group:?} show different views", seconds(check.at)));
             }
         }
     }
     let within = seconds(day.judge.settles_within.0 as u64 / 10);
-    let worst = times.iter().copied().fold(0.0, f64::max);
-    let figure = format!(
+    let worst = settling_times.iter().copied().fold(0.0, f64::max);
+    let summary = format!(
         "{} checkpoints, {groups} groups, {within} s after the last fault; the slowest took {worst:.1} s",
         checkpoints.len()
     );
-    verdict.rules.push(("V1 settles", figure, breaks));
+    verdict.rules.push(("V1 settles", summary, violations));
 
     // V2: stewards without a fault keep each other in their views, with the same incarnation.
-    let mut breaks = Vec::new();
+    let mut violations = Vec::new();
     let mut first: BTreeMap<(usize, String), u64> = BTreeMap::new();
     for sample in samples.iter().filter(|sample| sample.at >= settled && unaffected.contains(&sample.of)) {
         for &other in &unaffected {
-            let Some(incarnation) = sample.shown.get(&name(other)) else {
-                breaks.push(format!(
+            let Some(incarnation) = sample.shown.get(&steward_name(other)) else {
+                violations.push(format!(
                     "{:.1} s: steward-{} dropped steward-{other}",
                     seconds(sample.at),
                     sample.of
                 ));
                 continue;
             };
-            let known = *first.entry((sample.of, name(other))).or_insert(*incarnation);
+            let known = *first.entry((sample.of, steward_name(other))).or_insert(*incarnation);
             if known != *incarnation {
-                breaks.push(format!(
+                violations.push(format!(
                     "{:.1} s: steward-{other} had to take another incarnation",
                     seconds(sample.at)
                 ));
@@ -198,19 +203,19 @@
     verdict.rules.push((
         "V2 no false drop",
         format!("{} stewards without a fault", unaffected.len()),
-        breaks,
+        violations,
     ));
 
     // V3: views change no more often than the faults require.
-    let mut breaks = Vec::new();
+    let mut violations = Vec::new();
     let mut most = 0;
     // If faults affected all stewards, those that were never restarted are judged.
-    let ran = |n: &usize| {
+    let never_restarted = |n: &usize| {
         let unreliable = day.judge.unreliable_members.contains(n) || day.fleet.started_later.contains(n);
         !unreliable && samples.iter().filter(|sample| sample.of == *n).all(|sample| sample.start == 1)
     };
     let judged: Vec<usize> = match unaffected.is_empty() {
-        true => (0..day.fleet.stewards).filter(ran).collect(),
+        true => (0..day.fleet.stewards).filter(never_restarted).collect(),
         false => unaffected.clone(),
     };
     for &n in &judged {
@@ -223,23 +228,27 @@
         let changes = digests.len().saturating_sub(1) as u64;
         most = most.max(changes);
         if changes > day.judge.max_changes {
-            breaks.push(format!("steward-{n} showed {changes} changes"));
+            violations.push(format!("steward-{n} showed {changes} changes"));
         }
     }
     verdict.rules.push((
         "V3 calm",
         format!("{} stewards, {most} changes at most, {} allowed", judged.len(), day.judge.max_changes),
-        breaks,
+        violations,
     ));
 
     // V4: an incarnation once considered gone is not shown again, and members that are gone get no datagrams but probes.
-    let mut breaks = Vec::new();
+    let mut violations = Vec::new();
     let mut gone: BTreeMap<(usize, u64, String), u64> = BTreeMap::new();
     for sample in samples {
         for (name, incarnation) in &sample.shown {
             let key = (sample.of, sample.start, name.clone());
             if gone.get(&key).is_some_and(|gone| incarnation <= gone) {
-                breaks.push(format!("{:.1} s: steward-{} shows {name} again", seconds(sample.at), sample.of));
+                violations.push(format!(
+                    "{:.1} s: steward-{} shows {name} again",
+                    seconds(sample.at),
+                    sample.of
+                ));
             }
         }
         // The view is updated only once the membership is stable: until then it still shows a member that is gone, which is
@@ -253,21 +262,21 @@
     }
     // Datagrams in the last two seconds to stewards that don't run: each steward sends a probe every fifth round, and two more
     // are allowed for.
-    let runs: Vec<usize> =
+    let running: Vec<usize> =
         checkpoints.last().map(|check| check.reachable_groups.concat()).unwrap_or_default();
     let round = (day.fleet.round.0 as u64 / 10).max(1);
-    let probes = runs.len() as u64 * (2_000 / (5 * round) + 2);
-    for n in (0..day.fleet.stewards).filter(|n| !runs.contains(n)) {
+    let max_probes = running.len() as u64 * (2_000 / (5 * round) + 2);
+    for n in (0..day.fleet.stewards).filter(|n| !running.contains(n)) {
         let late =
             datagrams_sent.iter().filter(|sent| sent.to == n && sent.at + 2_000 >= ended).count() as u64;
-        if late > probes {
-            breaks.push(format!("{late} datagrams to steward-{n} in the last 2 s, {probes} allowed"));
+        if late > max_probes {
+            violations.push(format!("{late} datagrams to steward-{n} in the last 2 s, {max_probes} allowed"));
         }
     }
-    verdict.rules.push(("V4 no ghost", format!("{} samples", samples.len()), breaks));
+    verdict.rules.push(("V4 no ghost", format!("{} samples", samples.len()), violations));
 
     // V5: bytes and datagrams per second.
-    let mut breaks = Vec::new();
+    let mut violations = Vec::new();
     let mut load: BTreeMap<(usize, u64), (u64, u64)> = BTreeMap::new();
     for sent in datagrams_sent {
         let one = load.entry((sent.from, sent.at / 1_000)).or_default();
@@ -276,7 +285,7 @@
     let datagrams = load.values().map(|load| load.0).max().unwrap_or(0);
     let bytes = load.values().map(|load| load.1).max().unwrap_or(0);
     if datagrams > day.judge.max_datagrams_per_s || bytes > day.judge.max_bytes_per_s {
-        breaks.push(format!(
+        violations.push(format!(
             "allowed {} datagrams, {} bytes",
             day.judge.max_datagrams_per_s, day.judge.max_bytes_per_s
         ));
@@ -284,7 +293,7 @@
     verdict.rules.push((
         "V5 cheap",
         format!("{datagrams} datagrams, {bytes} bytes in the busiest second"),
-        breaks,
+        violations,
     ));
     verdict
 }
--- a/crates/lab/src/fleet/play.rs
+++ b/crates/lab/src/fleet/play.rs
@@ -137,8 +137,8 @@
     }
 
     async fn try_start(&self, n: usize) -> Result<(), Fault> {
-        let (shown, own) = self.datagrams.of(n);
-        let seeds = self.day.fleet.seeds.iter().map(|&seed| self.datagrams.of(seed).0);
+        let (shown, own) = self.datagrams.addresses(n);
+        let seeds = self.day.fleet.seeds.iter().map(|&seed| self.datagrams.addresses(seed).0);
         let peers: Vec<String> =
             self.dead_seeds.iter().copied().chain(seeds).map(|at| format!("\"{at}\"")).collect();
         let settings = format!(
@@ -201,7 +201,7 @@
                 continue;
             }
             let start = self.starts.borrow()[n];
-            let (_, own) = self.datagrams.of(n);
+            let (_, own) = self.datagrams.addresses(n);
             let Ok(answer) = ravenspar::ask_fleet(own, &key).await else { continue };
             if self.starts.borrow()[n] != start {
                 continue;
@@ -291,13 +291,13 @@
         steps.sort_by_key(|(at, _)| *at);
         let within = self.day.judge.settles_within.0 as u64 / 10;
         let mut last = settled;
-        for (at, apply_step) in steps {
+        for (at, step) in steps {
             if at > last + within {
                 self.wait_until(last + within).await;
                 self.add_checkpoint(last);
             }
             self.wait_until(at).await;
-            self.apply_step(apply_step).await?;
+            self.apply_step(step).await?;
             last = self.datagrams.now();
         }
         self.wait_until(last + within).await;
@@ -317,8 +317,8 @@
         self.checkpoints.borrow_mut().push(Checkpoint { at: self.datagrams.now(), since, reachable_groups });
     }
 
-    async fn apply_step(self: &Rc<Fleet>, apply_step: Step) -> Result<(), Fault> {
-        match apply_step {
+    async fn apply_step(self: &Rc<Fleet>, step: Step) -> Result<(), Fault> {
+        match step {
             Step::Begin(FaultKind::Crash { stewards }) => {
                 for n in stewards {
                     self.crash(n).await;
--- a/crates/lab/src/ways/datagrams.rs
+++ b/crates/lab/src/ways/datagrams.rs
@@ -40,7 +40,9 @@
     steward_by_addr: RefCell<BTreeMap<SocketAddr, usize>>,
     /// All datagrams sent, if they are logged.
     pub log: Option<RefCell<Vec<SentDatagram>>>,
+    /// Number of datagrams lost to cuts, to the loss rate or at an earlier address.
     pub lost: Cell<u64>,
+    /// Number of datagrams received from stewards.
     pub received: Cell<u64>,
     began: std::time::Instant,
 }
@@ -122,7 +124,7 @@
                 log.borrow_mut().push(SentDatagram { at: self.now(), from, to, bytes: length });
             }
             let steward = self.sockets.borrow()[to].clone();
-            let way = self.ways.of(End::Steward(from), End::Steward(to));
+            let way = self.ways.state(End::Steward(from), End::Steward(to));
             let closed = way.cut + way.closed > 0 || Some(steward.advertised) != advertised;
             if closed || self.ways.happens(way.loss) {
                 self.lost.set(self.lost.get() + 1);
@@ -152,7 +154,7 @@
     }
 
     /// The addresses at which the others reach the steward and at which it listens.
-    pub fn of(&self, n: usize) -> (SocketAddr, SocketAddr) {
+    pub fn addresses(&self, n: usize) -> (SocketAddr, SocketAddr) {
         let steward = &self.sockets.borrow()[n];
         (steward.advertised, steward.listen)
     }
@@ -164,7 +166,7 @@
 
     /// The `fleet` section of a steward's settings, with all stewards as peers.
     pub fn settings(&self, n: usize) -> serde_json::Value {
-        let (advertised, listen) = self.of(n);
+        let (advertised, listen) = self.addresses(n);
         let peers: Vec<String> =
             self.sockets.borrow().iter().map(|steward| steward.advertised.to_string()).collect();
         serde_json::json!({
--- a/crates/lab/src/ways/mod.rs
+++ b/crates/lab/src/ways/mod.rs
@@ -78,7 +78,7 @@
     }
 
     /// The present state of a link.
-    pub fn of(&self, from: End, to: End) -> Way {
+    pub fn state(&self, from: End, to: End) -> Way {
         let changed_link = self.ways.borrow().get(&(from, to)).copied();
         changed_link.unwrap_or_else(|| self.baseline(from, to))
     }
@@ -100,7 +100,7 @@
     /// Returns true if the link is open in both directions.
     pub fn open_between(&self, a: End, b: End) -> bool {
         let open = |way: Way| way.cut == 0 && way.closed == 0;
-        open(self.of(a, b)) && open(self.of(b, a))
+        open(self.state(a, b)) && open(self.state(b, a))
     }
 
     /// Waits until the condition holds.
--- a/crates/lab/src/ways/streams.rs
+++ b/crates/lab/src/ways/streams.rs
@@ -101,7 +101,7 @@
     }
 
     fn is_closed(&self) -> bool {
-        self.ways.of(self.from, self.to).closed > 0 || self.ways.of(self.to, self.from).closed > 0
+        self.ways.state(self.from, self.to).closed > 0 || self.ways.state(self.to, self.from).closed > 0
     }
 
     fn open<C: Pieces>(self: &Rc<Streams>, client: TcpStream, pieces: impl Fn() -> C) {
@@ -125,7 +125,7 @@
     /// Connects to the target and relays both directions until one of them ends.
     async fn relay<C: Pieces>(&self, stream: u64, client: TcpStream, up: (C, C), down: (C, C)) {
         self.ways
-            .wait_until(|ways| ways.of(self.from, self.to).cut + ways.of(self.to, self.from).cut == 0)
+            .wait_until(|ways| ways.state(self.from, self.to).cut + ways.state(self.to, self.from).cut == 0)
             .await;
         let Some(target) = self.target.get() else { return };
         let Ok(server) = TcpStream::connect(target).await else { return };
@@ -157,10 +157,10 @@
         (from, to): (End, End),
         mut read: FramedRead<impl tokio::io::AsyncRead + Unpin, C>,
         mut write: FramedWrite<impl tokio::io::AsyncWrite + Unpin, C>,
-        seen: impl Fn(&[u8]),
+        observe: impl Fn(&[u8]),
     ) {
         let ways = &self.ways;
-        let link_open = move || ways.wait_until(move |ways| ways.of(from, to).cut == 0);
+        let link_open = move || ways.wait_until(move |ways| ways.state(from, to).cut == 0);
         let (in_flight, mut due) = mpsc::channel::<(Instant, Bytes)>(MAX_IN_FLIGHT);
         let reading = async move {
             let mut last = Instant::now();
@@ -168,7 +168,7 @@
                 // Reading stops as well, so that the sender's buffers fill as they would on a real link.
                 link_open().await;
                 let Some(Ok(body)) = read.next().await else { return };
-                let way = self.ways.of(from, to);
+                let way = self.ways.state(from, to);
                 last = last.max(Instant::now() + self.delay(&way));
                 last += way.pace.map_or(Duration::ZERO, |pace| {
                     Duration::from_secs_f64(body.len() as f64 / f64::from(pace.max(1)))
@@ -187,14 +187,14 @@
                 link_open().await;
                 let up = (from, to) == (self.from, self.to);
                 if up {
-                    seen(&body);
+                    observe(&body);
                 }
-                let shown = body.clone();
+                let sent = body.clone();
                 if write.send(body).await.is_err() {
                     return;
                 }
                 if !up {
-                    seen(&shown);
+                    observe(&sent);
                 }
             }
         };
--- a/crates/lab/src/ways/tests.rs
+++ b/crates/lab/src/ways/tests.rs
@@ -38,7 +38,7 @@
         let target = Rc::new(Cell::new(listener.local_addr().ok()));
         let (closed_streams, pieces) = (Rc::new(Cell::new(0)), Rc::new(RefCell::new(Vec::new())));
         let (counted, kept) = (closed_streams.clone(), pieces.clone());
-        let watch = Rc::new(move |_, seen: Seen| match seen {
+        let watch = Rc::new(move |_, event: Seen| match event {
             Seen::Shut => counted.set(counted.get() + 1),
             Seen::Piece { up, bytes } => kept.borrow_mut().push((up, bytes.to_vec())),
             Seen::Opened => {}
@@ -138,10 +138,10 @@
     let ways = Ways::new(1, Way::default());
     ways.change([(End::Steward(0), End::Steward(1))], |to| *to = way);
     let proxy = Datagrams::open(&ways, 2, true).await.expect("open");
-    let sockets = [UdpSocket::bind(proxy.of(0).1).await, UdpSocket::bind(proxy.of(1).1).await];
+    let sockets = [UdpSocket::bind(proxy.addresses(0).1).await, UdpSocket::bind(proxy.addresses(1).1).await];
     let [Ok(first), Ok(second)] = sockets else { panic!("the chosen ports are taken by other processes") };
     for n in 0..sent {
-        first.send_to(&[n], proxy.of(1).0).await.expect("sent");
+        first.send_to(&[n], proxy.addresses(1).0).await.expect("sent");
         // One at a time, so that no buffer overflows.
         while proxy.received.get() <= u64::from(n) {
             tokio::task::yield_now().await;
@@ -153,10 +153,10 @@
     while let Ok(Ok((_, from))) =
         tokio::time::timeout(Duration::from_millis(200), second.recv_from(&mut byte)).await
     {
-        assert_eq!(from, proxy.of(0).0, "datagrams come from the sender's address in the lab");
+        assert_eq!(from, proxy.addresses(0).0, "datagrams come from the sender's address in the lab");
         received.push(byte[0]);
     }
-    second.send_to(&[0], proxy.of(0).0).await.expect("sent");
+    second.send_to(&[0], proxy.addresses(0).0).await.expect("sent");
     first.recv_from(&mut byte).await.expect("the reverse link is open");
     (received, proxy.lost.get())
 }
--- a/crates/lab/src/work/day.rs
+++ b/crates/lab/src/work/day.rs
@@ -37,10 +37,13 @@
     /// How long a new site counts as cold.
     #[serde(rename = "cold", default = "Work::cold_period")]
     pub cold_period: Span,
+    /// `jobs.again` of the stewards' settings.
     #[serde(rename = "again", default = "Work::retry_delay")]
     pub retry_delay: Span,
+    /// `jobs.most_gone` of the stewards' settings.
     #[serde(rename = "most_gone", default = "Work::mass_loss_delay")]
     pub mass_loss_delay: Span,
+    /// `jobs.attempts` of the stewards' settings.
     #[serde(rename = "attempts", default = "Work::max_attempts")]
     pub max_attempts: u32,
     pub jobs: Vec<Jobs>,
--- a/crates/lab/src/work/judge/debts.rs
+++ b/crates/lab/src/work/judge/debts.rs
@@ -27,7 +27,7 @@
 pub(super) fn debts_rules(day: &WorkDay, observed: &Observations, shares: &Shares) -> Vec<Finding> {
     let mut rules = Vec::new();
     // S1: each use is folded exactly once, with the amount that was used.
-    let (mut folded, mut twice) = (BTreeMap::<(u64, String), UseRow>::new(), Vec::new());
+    let (mut folded, mut violations) = (BTreeMap::<(u64, String), UseRow>::new(), Vec::new());
     // S3: the totals computed here, compared at each published version.
     let (mut ledger, mut wrong, mut versions) = (Ledger::new(shares.clone()), Vec::new(), 0);
     let mut epochs: Vec<(Time, u64)> = Vec::new();
@@ -48,10 +48,10 @@
                 if row.folded {
                     ledger.add(&row.fact.user, &row.fact.group, row.fact.used);
                     if folded.insert(lease.clone(), row).is_some() {
-                        twice.push(format!("{lease:?} was folded twice"));
+                        violations.push(format!("{lease:?} was folded twice"));
                     }
                 } else if folded.contains_key(&lease) {
-                    twice.push(format!("{lease:?} was written after it was folded"));
+                    violations.push(format!("{lease:?} was written after it was folded"));
                 }
             }
             if key == "ranking" {
@@ -81,13 +81,13 @@
         match folded.get(token) {
             None => missing += 1,
             Some(row) if row.fact.used != *amount as u64 => {
-                twice.push(format!("{token:?}: {} folded, {amount} used", row.fact.used));
+                violations.push(format!("{token:?}: {} folded, {amount} used", row.fact.used));
             }
             Some(_) => {}
         }
     }
     if missing > day.judge.max_uses_lost {
-        twice.push(format!("{missing} uses not folded, {} allowed", day.judge.max_uses_lost));
+        violations.push(format!("{missing} uses not folded, {} allowed", day.judge.max_uses_lost));
     }
     let mut by_user: BTreeMap<&str, u64> = BTreeMap::new();
     folded.values().for_each(|row| *by_user.entry(&row.fact.user).or_default() += row.fact.used);
@@ -96,7 +96,7 @@
     rules.push((
         "S1 use",
         format!("{} leases, {missing} not folded; {}", used.len(), summary.join(", ")),
-        twice,
+        violations,
     ));
 
     // S2: at the end all members use the same ranking, and none ever went back to an older one.
--- a/crates/lab/src/work/measure.rs
+++ b/crates/lab/src/work/measure.rs
@@ -91,21 +91,16 @@
             .store
             .changes()
             .into_iter()
-            .filter(|leader_change| leader_change.key == key && leader_change.at >= from)
+            .filter(|change| change.key == key && change.at >= from)
             .collect();
-        let other = claims.iter().find(|leader_change| {
-            leader_change
-                .value
-                .as_ref()
-                .is_some_and(|incarnation| Some(incarnation.as_bytes()) != before.as_deref())
+        let other = claims.iter().find(|change| {
+            change.value.as_ref().is_some_and(|incarnation| Some(incarnation.as_bytes()) != before.as_deref())
         });
         if let Some(other) = other {
             // A leader that hands its duty over acts until then, and one that is cut off from the sites alone acts all along.
             let handed_over = ["ended in order", "cut from all else"].contains(&failure);
-            let released = claims
-                .iter()
-                .find(|leader_change| leader_change.value.is_none())
-                .map_or(other.at, |release| release.at);
+            let released =
+                claims.iter().find(|change| change.value.is_none()).map_or(other.at, |release| release.at);
             break if handed_over { other.at - released } else { other.at - from };
         }
         if Instant::now() >= until {
@@ -212,13 +207,13 @@
         let changes = fleet.store.changes();
         let ends: BTreeSet<Time> = changes
             .iter()
-            .filter(|leader_change| leader_change.key.starts_with(&outcomes))
-            .map(|leader_change| leader_change.at)
+            .filter(|change| change.key.starts_with(&outcomes))
+            .map(|change| change.at)
             .collect();
         let first = changes
             .iter()
-            .find(|leader_change| leader_change.key.starts_with(&format!("{PREFIX}line/")))
-            .map_or(0, |leader_change| leader_change.at);
+            .find(|change| change.key.starts_with(&format!("{PREFIX}line/")))
+            .map_or(0, |change| change.at);
         let took = ends.last().map_or(1, |last| last - first) as f64 / SECOND as f64;
         print_line(format_args!(
             "| {count} | {:.0} | {:.0} | {:.0} | {:.0} | {:.2}% |",
@@ -273,13 +268,13 @@
     let (key, lines) = (format!("{PREFIX}duty/jobs"), format!("{PREFIX}line/"));
     let (until, mut claimed) = (Instant::now() + Duration::from_secs(60), None);
     while Instant::now() < until {
-        for leader_change in fleet.store.changes_after(*known) {
-            *known = leader_change.revision;
-            if leader_change.key == key && leader_change.value.is_some() {
-                claimed = Some(leader_change.at);
+        for change in fleet.store.changes_after(*known) {
+            *known = change.revision;
+            if change.key == key && change.value.is_some() {
+                claimed = Some(change.at);
             }
-            if let Some(claimed) = claimed.filter(|_| leader_change.key.starts_with(&lines)) {
-                return Ok((leader_change.at - claimed) as f64 / SECOND as f64);
+            if let Some(claimed) = claimed.filter(|_| change.key.starts_with(&lines)) {
+                return Ok((change.at - claimed) as f64 / SECOND as f64);
             }
         }
         sleep(Duration::from_millis(5)).await;
@@ -287,7 +282,7 @@
     Err(Fault::Failed("no line was written".to_owned()))
 }
 
-/// Compare-and-swap writes per second by one writer, one after the other: the upper bound for a leader's throughput.
+/// Compare-and-swap writes per second by one writer, one after the other, as a baseline.
 async fn sequential_writes_per_s(fleet: &Fleet) -> Result<f64, Fault> {
     const WRITES: u32 = 500;
     let failed = |why: String| Fault::Failed(why);
