--- a/crates/lab/src/fleet/play.rs
+++ b/crates/lab/src/fleet/play.rs
@@ -277,7 +277,7 @@
             steps.push((at, Step::Begin(fault.what.clone())));
             let lasts = fault.what.lasts().0 as u64 / 10;
             if lasts > 0 {
-                steps.push((at + lasts, Step::End(fault.what.clone())));
+                steps.push((at + lasts, Step::Finish(fault.what.clone())));
             }
         };
         for fault in &self.day.faults {
@@ -354,14 +354,14 @@
                 let apart = self.pairs(|a, b| side.contains(&a) != side.contains(&b));
                 self.ways.change(apart, |way| way.cut += 1);
             }
-            Step::End(FaultKind::Split { side, .. }) => {
+            Step::Finish(FaultKind::Split { side, .. }) => {
                 let apart = self.pairs(|a, b| side.contains(&a) != side.contains(&b));
                 self.ways.change(apart, |way| way.cut -= 1);
             }
             Step::Begin(FaultKind::Cut { from, to, .. }) => {
                 self.ways.change(self.pairs(|a, b| from.contains(&a) && to.contains(&b)), |way| way.cut += 1);
             }
-            Step::End(FaultKind::Cut { from, to, .. }) => {
+            Step::Finish(FaultKind::Cut { from, to, .. }) => {
                 self.ways.change(self.pairs(|a, b| from.contains(&a) && to.contains(&b)), |way| way.cut -= 1);
             }
             Step::Begin(FaultKind::Lose { stewards, share, late, .. }) => {
@@ -369,13 +369,13 @@
                 let of = self.pairs(|a, b| stewards.contains(&a) || stewards.contains(&b));
                 self.ways.change(of, |way| (way.loss, way.late) = (share, late));
             }
-            Step::End(FaultKind::Lose { stewards, .. }) => {
+            Step::Finish(FaultKind::Lose { stewards, .. }) => {
                 let loss = self.day.fleet.loss;
                 let of = self.pairs(|a, b| stewards.contains(&a) || stewards.contains(&b));
                 self.ways.change(of, |way| (way.loss, way.late) = (loss, Duration::ZERO));
             }
             Step::Begin(FaultKind::Stop { stewards, .. }) => self.signal(&stewards, true).await,
-            Step::End(FaultKind::Stop { stewards, .. }) => self.signal(&stewards, false).await,
+            Step::Finish(FaultKind::Stop { stewards, .. }) => self.signal(&stewards, false).await,
             Step::Begin(FaultKind::Crawl { stewards, on, off, lasts }) => {
                 let fleet = self.clone();
                 let until = self.datagrams.now() + lasts.0 as u64 / 10;
@@ -389,8 +389,8 @@
                     }
                 });
             }
-            Step::End(FaultKind::Crawl { stewards, .. }) => self.send_signal(&stewards, false).await,
-            Step::Begin(FaultKind::Storm { .. }) | Step::End(_) => {}
+            Step::Finish(FaultKind::Crawl { stewards, .. }) => self.send_signal(&stewards, false).await,
+            Step::Begin(FaultKind::Storm { .. }) | Step::Finish(_) => {}
         }
         Ok(())
     }
@@ -464,5 +464,5 @@
 /// The beginning or the end of a fault.
 enum Step {
     Begin(FaultKind),
-    End(FaultKind),
+    Finish(FaultKind),
 }
