--- a/crates/lab/src/fleet/play.rs
+++ b/crates/lab/src/fleet/play.rs
@@ -95,7 +95,7 @@
         )?;
         let ways = Ways::new(day.seed, Way { loss: day.fleet.loss, ..Way::default() });
         let datagrams = Datagrams::open(&ways, count, true).await?;
-        // The sockets are held so that no other process gets these ports; nothing answers there.
+        // Bound until all are chosen, so that no port is chosen twice; nothing answers there.
         let dead_seeds = (0..day.fleet.dead_seeds).map(|_| std::net::UdpSocket::bind("127.0.0.1:0"));
         let dead_seeds: Vec<std::net::UdpSocket> = dead_seeds.collect::<Result<_, _>>()?;
         let fleet = Rc::new(Fleet {
