--- a/crates/lab/tests/view_days.rs
+++ b/crates/lab/tests/view_days.rs
@@ -1,5 +1,5 @@
-//! Days of the view of the fleet: processes of the program, faults between any two of them, and a judge. They wait far
-//! more than they work, so they are played beside each other.
+//! Days of the view of the fleet: real processes with faults on the links between them, judged. They mostly wait, so they run
+//! concurrently.
 
 mod common;
 
@@ -71,11 +71,11 @@
 }
 
 #[test]
-fn without_comparison_a_fleet_is_not_one_again() {
+fn without_comparison_views_do_not_converge_after_a_split() {
     breaks("view-without-comparison", "V1 settles");
 }
 
 #[test]
-fn without_suspicion_short_stops_cost_members_their_places() {
+fn without_suspicion_short_pauses_drop_members() {
     breaks("view-without-suspicion", "V2 no false drop");
 }
--- a/crates/lab/tests/work_days.rs
+++ b/crates/lab/tests/work_days.rs
@@ -1,6 +1,5 @@
-//! Days of work for the whole fleet: processes of the program and of agents, faults between any two of them, and a judge
-//! that goes by what the store and the effects saw. They wait far more than they work, so they are played beside each
-//! other.
+//! Days of duties and jobs: real stewards and agents with faults on the links between them, judged by what the store and
+//! the effect receivers recorded. They mostly wait, so they run concurrently.
 
 mod common;
 
@@ -12,62 +11,62 @@
 }
 
 #[test]
-fn an_owner_that_wakes_up_late_does_no_harm() {
+fn a_leader_that_resumes_late() {
     keeps_the_rules("duty-paused");
 }
 
 #[test]
-fn stewards_that_die_before_their_claim_leaves() {
+fn stewards_that_die_before_their_claim_is_sent() {
     keeps_the_rules("duty-killed-claim");
 }
 
 #[test]
-fn stewards_that_die_once_their_claim_is_carried_out() {
+fn stewards_that_die_after_their_claim_is_executed() {
     keeps_the_rules("duty-killed-claimed");
 }
 
 #[test]
-fn owners_that_die_before_an_effect_leaves() {
+fn leaders_that_die_before_an_effect_is_sent() {
     keeps_the_rules("duty-killed-effect");
 }
 
 #[test]
-fn owners_that_die_once_an_effect_is_carried_out() {
+fn leaders_that_die_after_an_effect_is_executed() {
     keeps_the_rules("duty-killed-effected");
 }
 
 #[test]
-fn an_owner_cut_off_from_the_store() {
+fn a_leader_cut_off_from_the_store() {
     keeps_the_rules("duty-cut-store");
 }
 
 #[test]
-fn an_owner_that_reaches_the_store_alone() {
+fn a_leader_that_reaches_only_the_store() {
     keeps_the_rules("duty-cut-all-but-store");
 }
 
 #[test]
-fn a_planned_restart_of_all() {
+fn a_planned_restart_of_all_stewards() {
     keeps_the_rules("duty-roll");
 }
 
 #[test]
-fn an_owner_that_crawls() {
+fn a_leader_that_crawls() {
     keeps_the_rules("duty-crawl");
 }
 
 #[test]
-fn an_owner_cut_off_for_short_times_again_and_again() {
+fn a_leader_cut_off_repeatedly_for_short_times() {
     keeps_the_rules("duty-flap");
 }
 
 #[test]
-fn a_store_that_is_away() {
+fn an_unavailable_store() {
     keeps_the_rules("duty-store-away");
 }
 
 #[test]
-fn a_store_that_is_late_and_loses_answers() {
+fn a_store_with_delays_and_lost_responses() {
     keeps_the_rules("duty-store-late");
 }
 
@@ -77,17 +76,17 @@
 }
 
 #[test]
-fn an_agent_that_wakes_up_in_the_middle_of_an_effect() {
+fn an_agent_that_resumes_in_the_middle_of_an_effect() {
     keeps_the_rules("jobs-site-paused");
 }
 
 #[test]
-fn sites_that_hear_or_are_heard_one_way() {
+fn sites_with_one_way_links() {
     keeps_the_rules("jobs-site-one-way");
 }
 
 #[test]
-fn a_zone_that_is_lost() {
+fn a_lost_zone() {
     keeps_the_rules("jobs-zone-lost");
 }
 
@@ -97,22 +96,22 @@
 }
 
 #[test]
-fn outcomes_that_come_late() {
+fn late_outcomes() {
     keeps_the_rules("jobs-late-outcome");
 }
 
 #[test]
-fn owners_killed_while_leases_end() {
+fn leaders_killed_while_leases_expire() {
     keeps_the_rules("jobs-owner-killed");
 }
 
 #[test]
-fn owner_and_site_lost_in_the_same_second() {
+fn leader_and_site_lost_in_the_same_second() {
     keeps_the_rules("jobs-steward-and-site");
 }
 
 #[test]
-fn jobs_that_kill_and_jobs_that_fail() {
+fn poison_jobs_and_failing_jobs() {
     keeps_the_rules("jobs-poison");
 }
 
@@ -122,7 +121,7 @@
 }
 
 #[test]
-fn jobs_that_are_cancelled() {
+fn cancelled_jobs() {
     keeps_the_rules("jobs-cancelled");
 }
 
@@ -132,27 +131,27 @@
 }
 
 #[test]
-fn owners_that_die_in_the_middle_of_folding() {
+fn leaders_that_die_while_folding() {
     keeps_the_rules("debt-fold-killed");
 }
 
 #[test]
-fn uses_said_often_late_and_out_of_order() {
+fn uses_reported_repeatedly_late_and_out_of_order() {
     keeps_the_rules("debt-double");
 }
 
 #[test]
-fn a_steward_that_returns_after_long() {
+fn a_steward_that_returns_after_a_long_absence() {
     keeps_the_rules("debt-returns");
 }
 
 #[test]
-fn wall_clocks_that_are_off_and_jump() {
+fn wall_clocks_with_offsets_and_jumps() {
     keeps_the_rules("debt-clocks");
 }
 
 #[test]
-fn a_user_that_floods() {
+fn a_user_that_floods_the_queue() {
     keeps_the_rules("debt-flood");
 }
 
@@ -166,8 +165,9 @@
     keeps_the_rules("jobs-turns");
 }
 
-/// What the guide asks of whoever takes effects is needed: without it the same faults make steps land twice.
+/// Effect receivers must remember what they have executed, as the guide requires: without it the same faults make steps run
+/// twice.
 #[test]
-fn a_taker_without_a_memory_is_none() {
+fn an_effect_receiver_without_memory_executes_steps_twice() {
     breaks("jobs-taker-without-memory", "J1 once");
 }
