--- a/crates/lab/src/judge/cold.rs
+++ b/crates/lab/src/judge/cold.rs
@@ -1,22 +1,22 @@
-//! Rule 4: no server that is known to have just started is brought so much that it falls over.
+//! Rule 4: no server that is known to have just started is sent so much load that it fails.
 
 use ravenspar_standin::Event;
 
-use super::Break;
+use super::Violation;
 
-pub fn judge(events: &[Event], breaks: &mut Vec<Break>) {
+pub fn judge(events: &[Event], violations: &mut Vec<Violation>) {
     for event in events {
         let Event::Fell { at, server, boot } = event else { continue };
-        // Not by the steward's orders if it could not know of the start.
+        // A steward can't protect a server whose start was not listed yet.
         let known = events.iter().take_while(|event| event.at() <= *at).any(|event| {
             matches!(event, Event::Listed { servers, .. }
                 if servers.iter().any(|(id, _, listed)| id == server && listed == boot))
         });
         if known {
-            breaks.push(Break {
+            violations.push(Violation {
                 rule: 3,
                 at: *at,
-                what: format!("{server} was pushed over while it was cold"),
+                what: format!("{server} was overloaded while it was cold"),
             });
         }
     }
--- a/crates/lab/src/judge/drain.rs
+++ b/crates/lab/src/judge/drain.rs
@@ -1,24 +1,24 @@
-//! Rule 3: within the grace after the list said that a server drains or is gone, nothing is sent to it any more.
+//! Rule 3: once the grace has passed after a server was listed as draining or left the list, no req is sent to it.
 
 use std::collections::BTreeMap;
 
 use ravenspar_standin::{Event, Time};
 
-use super::tables::View;
-use super::{Break, Rules};
+use super::tables::ForwarderTables;
+use super::{Rules, Violation};
 
-pub fn judge(events: &[Event], rules: &Rules, view: &View, breaks: &mut Vec<Break>) {
-    /// What was sent in time may take this long to cross loopback on a busy machine, in tenths of a millisecond.
+pub fn judge(events: &[Event], rules: &Rules, tables: &ForwarderTables, violations: &mut Vec<Violation>) {
+    /// A req that was sent in time may take this long to cross loopback on a busy machine.
     const CROSSING: Time = 1_000;
-    // Since when each server is known to leave, and when the steward was last able to learn it.
+    // When each server was listed as leaving.
     let mut leaving: BTreeMap<&str, Time> = BTreeMap::new();
     let mut listed: Vec<&str> = Vec::new();
-    // By steward; one of which nothing was seen runs.
+    // By steward: when it was last started or continued, and whether it runs. One without any event runs.
     let mut states: BTreeMap<usize, (Time, bool)> = BTreeMap::new();
     for event in events {
         match event {
             Event::Listed { at, servers } => {
-                let now: Vec<&str> = servers.iter().map(|(id, ..)| id.as_str()).collect();
+                let current: Vec<&str> = servers.iter().map(|(id, ..)| id.as_str()).collect();
                 for (id, state, _) in servers {
                     if state == "ready" {
                         leaving.remove(id.as_str());
@@ -29,10 +29,10 @@
                 if !rules.only_draining_binds {
                     listed
                         .iter()
-                        .filter(|id| !now.contains(id))
+                        .filter(|id| !current.contains(id))
                         .for_each(|id| _ = leaving.entry(id).or_insert(*at));
                 }
-                listed = now;
+                listed = current;
             }
             Event::Steward { at, number, state } => {
                 let entry = states.entry(*number).or_insert((Time::MIN, true));
@@ -44,19 +44,19 @@
             Event::Took { at, server, req, forwarder, slice, .. }
             | Event::Turned { at, server, req, forwarder, slice, .. } => {
                 let Some(&since) = leaving.get(server.as_str()) else { continue };
-                let ownership = view.owned_since(*forwarder, *slice as usize, *at);
-                let Some((owned, steward)) = ownership else { continue };
-                let (able, running) = states.get(&steward).copied().unwrap_or((Time::MIN, true));
+                let assignment = tables.assigned_since(*forwarder, *slice as usize, *at);
+                let Some((assigned_since, steward)) = assignment else { continue };
+                let (resumed, running) = states.get(&steward).copied().unwrap_or((Time::MIN, true));
                 if !running {
                     continue;
                 }
-                let since = since.max(able).max(owned);
-                if at - since > rules.grace + CROSSING {
-                    let late = (at - since - rules.grace) as f64 / ravenspar_standin::SECOND as f64;
+                let since = since.max(resumed).max(assigned_since);
+                if at - since > rules.drain_grace + CROSSING {
+                    let late = (at - since - rules.drain_grace) as f64 / ravenspar_standin::SECOND as f64;
                     let what = format!(
                         "forwarder {forwarder} sent req {req} to {server} {late:.3} s after the grace"
                     );
-                    breaks.push(Break { rule: 2, at: *at, what });
+                    violations.push(Violation { rule: 2, at: *at, what });
                 }
             }
             _ => {}
--- a/crates/lab/src/judge/mod.rs
+++ b/crates/lab/src/judge/mod.rs
@@ -1,11 +1,11 @@
-//! Judges a day by what crossed the sockets, and by nothing that the service says of itself. Pure.
+//! Judges a day from its capture alone: what crossed the sockets, not what the service reports about itself. Pure.
 
 mod cold;
 mod drain;
 mod limits;
-mod picks;
 mod service;
 mod tables;
+mod unserved;
 mod writers;
 
 use ravenspar_standin::{Event, Time, SECOND};
@@ -14,21 +14,25 @@
 pub use service::Service;
 pub use tables::Gaps;
 
-/// The figures that rules and service are counted by, as the steward was given them.
+/// The limits that the rules check and the request kinds that service is computed from, taken from the steward's settings.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    pub unserved_most: Time,
-    pub grace: Time,
+    pub max_unserved: Time,
+    pub drain_grace: Time,
     pub only_draining_binds: bool,
     pub cold_for: Time,
-    pub waiting: f64,
-    pub head: u64,
-    pub messages: usize,
-    pub window: Time,
+    /// Lines that may wait in the steward's channel.
+    pub max_waiting_lines: f64,
+    /// Cost of a message, in lines.
+    pub message_cost: u64,
+    /// Messages that may be sent to one forwarder within `message_window`; 0 is no limit.
+    pub max_messages: usize,
+    pub message_window: Time,
     pub slices: usize,
     pub kinds: Vec<Kind>,
 }
 
+/// A request kind.
 #[derive(Clone, Debug)]
 pub struct Kind {
     pub name: String,
@@ -37,6 +41,7 @@
 }
 
 impl Rules {
+    /// Returns `None` if a setting is missing.
     pub fn new(cfg: &Settings) -> Option<Rules> {
         let count = cfg.number("classes.count")? as usize;
         let kind = |k: usize| {
@@ -47,21 +52,21 @@
             })
         };
         Some(Rules {
-            unserved_most: cfg.time("family_info.unserved_max_s")?,
-            grace: cfg.time("safety.drain_grace_s")?,
+            max_unserved: cfg.time("family_info.unserved_max_s")?,
+            drain_grace: cfg.time("safety.drain_grace_s")?,
             only_draining_binds: cfg.flag("safety.only_draining_binds"),
             cold_for: cfg.time("safety.cold_s")?,
-            waiting: cfg.number("family_info.pending_max")?,
-            head: cfg.number("family_info.fixed_cost")? as u64,
-            messages: cfg.number("family_info.pushes_allowed")? as usize,
-            window: cfg.time("family_info.update_window_s")?,
+            max_waiting_lines: cfg.number("family_info.pending_max")?,
+            message_cost: cfg.number("family_info.fixed_cost")? as u64,
+            max_messages: cfg.number("family_info.pushes_allowed")? as usize,
+            message_window: cfg.time("family_info.update_window_s")?,
             slices: cfg.number("family_info.ranges")? as usize,
             kinds: (0..count).map(kind).collect::<Option<_>>()?,
         })
     }
 }
 
-/// The five rules, by name.
+/// The names of the five rules.
 pub const RULES: [&str; 5] = [
     "nobody left without a server",
     "no effect twice",
@@ -70,69 +75,74 @@
     "a short queue",
 ];
 
-/// A rule that was broken, and by what.
+/// One violation of a rule.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Break {
-    /// Its place in [`RULES`].
+pub struct Violation {
+    /// Index into [`RULES`].
     pub rule: usize,
     pub at: Time,
+    /// Describes the violation, for the report.
     pub what: String,
 }
 
+/// The result of judging one capture.
 #[derive(Clone, Debug)]
 pub struct Verdict {
-    pub breaks: Vec<Break>,
+    pub violations: Vec<Violation>,
     pub service: Service,
     pub gaps: Gaps,
     pub writes: usize,
+    /// The most messages that one forwarder was sent within a window.
     pub most_messages: usize,
+    /// The most lines that were seen waiting in the channel.
     pub most_waiting: u64,
-    /// Fields of lower terms that reached forwarders, as they did by the wire.
+    /// Stale fields that reached forwarders: from a lower term, or from a steward that the slice isn't assigned to.
     pub refused: usize,
-    /// When clients began; times are told from here.
+    /// When clients began to send; the report counts times from here.
     pub began: Time,
 }
 
-/// Events are in order of time, as a capture has them.
+/// Checks all rules and computes service. `events` must be in order of time, as in a capture.
 pub fn judge(events: &[Event], rules: &Rules) -> Verdict {
-    let view = tables::View::new(events, rules.slices);
+    let tables = tables::ForwarderTables::new(events, rules.slices);
     let began = events.iter().find_map(|event| match event {
         Event::Began { at } => Some(*at),
         _ => None,
     });
     let began = began.or(events.first().map(Event::at)).unwrap_or(0);
-    let mut breaks = Vec::new();
-    picks::judge(events, rules, &view, &mut breaks);
-    let writes = writers::judge(events, &view, &mut breaks);
-    drain::judge(events, rules, &view, &mut breaks);
-    cold::judge(events, &mut breaks);
-    let (most_messages, most_waiting) = limits::judge(rules, &view, &mut breaks);
-    breaks.sort_by_key(|b| (b.rule, b.at));
+    let mut violations = Vec::new();
+    unserved::judge(events, rules, &tables, &mut violations);
+    let writes = writers::judge(events, &tables, &mut violations);
+    drain::judge(events, rules, &tables, &mut violations);
+    cold::judge(events, &mut violations);
+    let (most_messages, most_waiting) = limits::judge(rules, &tables, &mut violations);
+    violations.sort_by_key(|b| (b.rule, b.at));
     let service = service::count(events, rules, began);
     Verdict {
-        breaks,
+        violations,
         service,
-        gaps: view.gaps(events),
+        gaps: tables.gaps(events),
         writes,
         most_messages,
         most_waiting,
-        refused: view.refused,
+        refused: tables.refused,
         began,
     }
 }
 
 impl Verdict {
+    /// Returns true if no rule was broken.
     pub fn kept(&self) -> bool {
-        self.breaks.is_empty()
+        self.violations.is_empty()
     }
 
-    /// A line a rule and a figure, for people.
+    /// A readable report with one line for each rule and metric.
     pub fn report(&self) -> String {
         use std::fmt::Write as _;
         let mut text = String::new();
         let seconds = |time: Time| time as f64 / SECOND as f64;
         for (rule, name) in RULES.iter().enumerate() {
-            let broken: Vec<&Break> = self.breaks.iter().filter(|b| b.rule == rule).collect();
+            let broken: Vec<&Violation> = self.violations.iter().filter(|b| b.rule == rule).collect();
             // Writing to a string can't fail.
             let _ = match broken.first() {
                 None => writeln!(text, "rule {}  {name}: kept", rule + 1),
@@ -152,9 +162,9 @@
         let _ = writeln!(
             text,
             "service      {:.4} of the credit asked for ({} reqs)",
-            service.whole, service.reqs
+            service.total_share, service.reqs
         );
-        let _ = writeln!(text, "worst 10 s   {:.4}", service.worst_window);
+        let _ = writeln!(text, "worst 10 s   {:.4}", service.worst_window_share);
         for (name, share) in &service.kinds {
             let _ = writeln!(text, "  {name:<10} {share:.4}");
         }
--- a/crates/lab/src/judge/service.rs
+++ b/crates/lab/src/judge/service.rs
@@ -1,4 +1,5 @@
-//! Service: the credit answered within the response target over the credit asked for, retries with their first try.
+//! Service: the credit of the reqs answered within their response target, divided by the credit of all reqs. Retries
+//! count with their first try.
 
 use std::collections::BTreeMap;
 
@@ -6,15 +7,19 @@
 
 use super::Rules;
 
+/// Shares of the credit asked for that was earned.
 #[derive(Clone, Debug, Default)]
 pub struct Service {
     pub reqs: usize,
-    pub whole: f64,
-    pub worst_window: f64,
-    /// By request kind: name and share.
+    /// Over all reqs.
+    pub total_share: f64,
+    /// Of the worst 10 s.
+    pub worst_window_share: f64,
+    /// Name and share of each request kind.
     pub kinds: Vec<(String, f64)>,
 }
 
+/// Computes service; windows begin at `began`.
 pub fn count(events: &[Event], rules: &Rules, began: Time) -> Service {
     const WINDOW: Time = 10 * SECOND;
     let mut asked: BTreeMap<u64, (Time, usize, bool)> = BTreeMap::new();
@@ -45,15 +50,15 @@
         }
     };
     let last = asked.values().map(|&(at, ..)| at).max().unwrap_or(began);
-    // Windows that begin at each second; a day shorter than one has just itself.
+    // A window begins at each second; a day shorter than a window is one window.
     let starts =
         (0..).map(|n| began + n * SECOND).take_while(|start| *start == began || start + WINDOW <= last);
     let worst = starts.map(|start| share(&|at, _| at >= start && at < start + WINDOW)).fold(1.0, f64::min);
     let kinds = rules.kinds.iter().enumerate();
     Service {
         reqs: asked.len(),
-        whole: share(&|_, _| true),
-        worst_window: worst,
+        total_share: share(&|_, _| true),
+        worst_window_share: worst,
         kinds: kinds.map(|(k, kind)| (kind.name.clone(), share(&|_, of| of == k))).collect(),
     }
 }
--- a/crates/lab/src/judge/tables.rs
+++ b/crates/lab/src/judge/tables.rs
@@ -1,4 +1,4 @@
-//! What each forwarder was told, by the frames that reached it.
+//! Each forwarder's routes and assignments over time, rebuilt from the frames that reached it.
 
 use std::collections::BTreeMap;
 
@@ -6,11 +6,11 @@
 use ravenspar_standin::capture::unhex;
 use ravenspar_standin::{Event, Time};
 
-/// A stretch of time in which a forwarder held a slice for one server, or for none.
+/// A period in which a forwarder routed a slice to one server, or to none.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Span {
+pub struct RoutePeriod {
     pub from: Time,
-    /// `Time::MAX` while it lasts.
+    /// `Time::MAX` if it has not ended.
     pub to: Time,
     pub server: Option<String>,
 }
@@ -21,113 +21,121 @@
     pub at: Time,
     pub stream: u64,
     pub lines: u64,
-    pub epoch: Option<u64>,
-    /// The steward's, by its welcome.
+    pub mark: Option<u64>,
+    /// The steward's term, from its welcome.
     pub term: u64,
 }
 
-/// A stretch of time in which a forwarder was joined on a stream.
+/// A period in which a forwarder was connected to a steward by a stream.
 #[derive(Clone, Debug)]
-pub struct Joined {
+pub struct Connection {
     pub stream: u64,
     pub forwarder: u64,
     pub from: Time,
     pub to: Time,
 }
 
+/// What all forwarders received during a day.
 #[derive(Debug, Default)]
-pub struct View {
+pub struct ForwarderTables {
     /// By forwarder and slice, in order of time.
-    pub spans: BTreeMap<(u64, usize), Vec<Span>>,
-    pub joined: Vec<Joined>,
+    pub routes: BTreeMap<(u64, usize), Vec<RoutePeriod>>,
+    pub connections: Vec<Connection>,
     pub messages: Vec<Message>,
-    /// By forwarder and slice: the highest term that it has been told, and the stream that told it.
-    assignments: BTreeMap<(u64, usize), (u64, u64)>,
-    /// By forwarder and slice: since when it has been told that a stream's steward is in charge, in order of time.
-    pub owned: BTreeMap<(u64, usize), Vec<(Time, u64)>>,
-    /// The steward at the other end of each stream; those not named are of the only one there is.
+    /// By forwarder and slice: the highest term received, and the stream that it was received on.
+    latest_assignments: BTreeMap<(u64, usize), (u64, u64)>,
+    /// By forwarder and slice: when it received an assignment, and the stream of the assigned steward, in order of time.
+    pub assigned: BTreeMap<(u64, usize), Vec<(Time, u64)>>,
+    /// The steward at the other end of each stream; a stream without an entry belongs to steward 0.
     stewards: BTreeMap<u64, usize>,
-    /// Lines of lower terms, or of slices that their steward was not in charge of, that reached a forwarder.
+    /// Stale fields that reached a forwarder: from a lower term, or for a slice not assigned to their steward.
     pub refused: usize,
 }
 
-/// No stream has this number: nobody is in charge of a slice, as far as a forwarder was told.
-const NOBODY: u64 = u64::MAX;
+/// Stands for a stream where a slice is assigned to no steward, as far as a forwarder knows.
+const NO_STREAM: u64 = u64::MAX;
 
+/// What is known of a stream from its frames so far.
 #[derive(Default)]
 struct Stream {
     forwarder: Option<u64>,
     term: u64,
     servers: BTreeMap<u64, String>,
-    /// The whole table as far as it has been read.
-    next: BTreeMap<usize, u64>,
-    /// The charges of the table that is being read.
-    assignments: Vec<(usize, u64)>,
+    /// The lines of the initial table received so far: server by slice.
+    initial_lines: BTreeMap<usize, u64>,
+    /// The assignments of the initial table received so far: slice and term.
+    initial_assignments: Vec<(usize, u64)>,
 }
 
-impl View {
-    pub fn new(events: &[Event], slices: usize) -> View {
-        let mut view = View::default();
+impl ForwarderTables {
+    /// Rebuilds all tables from a capture; `slices` is how many slices there are.
+    pub fn new(events: &[Event], slices: usize) -> ForwarderTables {
+        let mut tables = ForwarderTables::default();
         let mut streams: BTreeMap<u64, Stream> = BTreeMap::new();
         for event in events {
             match event {
                 Event::Frame { at, stream, down, body } => {
                     let body = unhex(body).unwrap_or_default();
                     let entry = streams.entry(*stream).or_default();
-                    // A body that can't be read says nothing; whoever sent it has to bear the end of its stream.
-                    let _ = view.frame(*at, *stream, entry, *down, &body, slices);
+                    // A body that can't be decoded is skipped; its receiver closes the stream.
+                    let _ = tables.apply_frame(*at, *stream, entry, *down, &body, slices);
                 }
-                Event::Opened { stream, steward, .. } => _ = view.stewards.insert(*stream, *steward),
-                Event::Shut { at, stream } => view.leave(*at, *stream),
+                Event::Opened { stream, steward, .. } => _ = tables.stewards.insert(*stream, *steward),
+                Event::Shut { at, stream } => tables.close_stream(*at, *stream),
                 Event::Forwarder { at, number, state } if state == "killed" => {
-                    // What it held is gone with it.
-                    (0..slices).for_each(|slice| view.hold(*at, *number, slice, None));
-                    view.joined
+                    // A killed forwarder loses its table.
+                    (0..slices).for_each(|slice| tables.set_route(*at, *number, slice, None));
+                    tables
+                        .connections
                         .iter_mut()
-                        .filter(|j| j.forwarder == *number)
-                        .for_each(|j| j.to = j.to.min(*at));
+                        .filter(|c| c.forwarder == *number)
+                        .for_each(|c| c.to = c.to.min(*at));
                 }
                 _ => {}
             }
         }
-        view
+        tables
     }
 
-    fn leave(&mut self, at: Time, stream: u64) {
-        self.joined.iter_mut().filter(|j| j.stream == stream).for_each(|j| j.to = j.to.min(at));
+    /// Ends the connections of a stream.
+    fn close_stream(&mut self, at: Time, stream: u64) {
+        self.connections.iter_mut().filter(|c| c.stream == stream).for_each(|c| c.to = c.to.min(at));
     }
 
-    fn hold(&mut self, at: Time, forwarder: u64, slice: usize, server: Option<String>) {
-        let spans = self.spans.entry((forwarder, slice)).or_default();
-        if let Some(last) = spans.last_mut().filter(|last| last.to == Time::MAX) {
+    /// Starts a new route period, and ends the one before.
+    fn set_route(&mut self, at: Time, forwarder: u64, slice: usize, server: Option<String>) {
+        let routes = self.routes.entry((forwarder, slice)).or_default();
+        if let Some(last) = routes.last_mut().filter(|last| last.to == Time::MAX) {
             if server.is_none() && last.server.is_none() {
-                return; // it goes on without one
+                return; // still without a server
             }
             last.to = at;
         }
-        spans.push(Span { from: at, to: Time::MAX, server });
+        routes.push(RoutePeriod { from: at, to: Time::MAX, server });
     }
 
-    /// A forwarder is told that a steward is in charge of a slice; whether that counts.
-    fn assign(&mut self, at: Time, forwarder: u64, slice: usize, term: u64, stream: u64) -> bool {
-        let known = self.assignments.entry((forwarder, slice)).or_default();
-        let counts = term >= known.0;
-        if counts {
-            *known = (term, stream);
-            self.owned.entry((forwarder, slice)).or_default().push((at, stream));
+    /// Records an assignment that a forwarder received. Returns false if it is refused as stale.
+    fn accept_assignment(&mut self, at: Time, forwarder: u64, slice: usize, term: u64, stream: u64) -> bool {
+        let latest = self.latest_assignments.entry((forwarder, slice)).or_default();
+        let accepted = term >= latest.0;
+        if accepted {
+            *latest = (term, stream);
+            self.assigned.entry((forwarder, slice)).or_default().push((at, stream));
         }
-        self.refused += usize::from(!counts);
-        counts
+        self.refused += usize::from(!accepted);
+        accepted
     }
 
-    /// Whether a line counts: its slice is in charge of the steward at the other end.
-    fn counts(&mut self, forwarder: u64, slice: usize, stream: u64) -> bool {
-        let counts = self.assignments.get(&(forwarder, slice)).is_some_and(|known| known.1 == stream);
-        self.refused += usize::from(!counts);
-        counts
+    /// Returns true if a slice is assigned to the steward at the other end; else the field is refused.
+    fn accept_line(&mut self, forwarder: u64, slice: usize, stream: u64) -> bool {
+        let accepted =
+            self.latest_assignments.get(&(forwarder, slice)).is_some_and(|latest| latest.1 == stream);
+        self.refused += usize::from(!accepted);
+        accepted
     }
 
-    fn frame(
+    /// Applies one frame that crossed stream `number`.
+    fn apply_frame(
         &mut self,
         at: Time,
         number: u64,
@@ -137,24 +145,24 @@
         slices: usize,
     ) -> Result<(), Fault> {
         let mut body = Body::new(body)?;
-        let what = body.kind();
+        let body_kind = body.kind();
         if !down {
             while let Some((tag, mut field)) = body.field()? {
-                if what == kind::HELLO && tag == tag::PROXY {
+                if body_kind == kind::HELLO && tag == tag::PROXY {
                     stream.forwarder = Some(field.number()?);
                 }
             }
             return Ok(());
         }
         let Some(forwarder) = stream.forwarder else { return Ok(()) };
-        if what == kind::WELCOME {
-            self.joined.push(Joined { stream: number, forwarder, from: at, to: Time::MAX });
+        if body_kind == kind::WELCOME {
+            self.connections.push(Connection { stream: number, forwarder, from: at, to: Time::MAX });
         }
-        let (mut lines, mut epoch) = (0, None);
-        // Slices that come into charge by this frame, with their lines: one change.
-        let mut fresh: BTreeMap<usize, Option<String>> = BTreeMap::new();
+        let (mut lines, mut mark) = (0, None);
+        // Slices newly assigned by this frame, with their lines: each is one change.
+        let mut new_slices: BTreeMap<usize, Option<String>> = BTreeMap::new();
         while let Some((tag, mut field)) = body.field()? {
-            match (what, tag) {
+            match (body_kind, tag) {
                 (kind::WELCOME, tag::TERM) => stream.term = field.number()?,
                 (_, tag::SERVER) => {
                     let server = field.number()?;
@@ -163,119 +171,120 @@
                 (kind::READ, tag::CHARGE) => {
                     let (first, count, term) = (field.index()?, field.index()?, field.number()?);
                     let all = first..first.saturating_add(count).min(slices);
-                    stream.assignments.extend(all.map(|slice| (slice, term)));
+                    stream.initial_assignments.extend(all.map(|slice| (slice, term)));
                 }
                 (kind::READ, tag::LINE) => {
-                    stream.next.insert(field.index()?, field.number()?);
+                    stream.initial_lines.insert(field.index()?, field.number()?);
                 }
                 (kind::READ, tag::END) => {
-                    let next = std::mem::take(&mut stream.next);
-                    for (slice, term) in std::mem::take(&mut stream.assignments) {
-                        if self.assign(at, forwarder, slice, term, number) {
+                    let lines = std::mem::take(&mut stream.initial_lines);
+                    for (slice, term) in std::mem::take(&mut stream.initial_assignments) {
+                        if self.accept_assignment(at, forwarder, slice, term, number) {
                             let server =
-                                next.get(&slice).and_then(|server| stream.servers.get(server)).cloned();
-                            self.hold(at, forwarder, slice, server);
+                                lines.get(&slice).and_then(|server| stream.servers.get(server)).cloned();
+                            self.set_route(at, forwarder, slice, server);
                         }
                     }
                 }
                 (kind::TABLE, tag::CHARGE) => {
                     let (first, count, term) = (field.index()?, field.index()?, field.number()?);
                     for slice in first..first.saturating_add(count).min(slices) {
-                        if self.assign(at, forwarder, slice, term, number) {
-                            fresh.insert(slice, None);
+                        if self.accept_assignment(at, forwarder, slice, term, number) {
+                            new_slices.insert(slice, None);
                         }
                     }
                 }
                 (kind::TABLE, tag::LEFT) => {
                     let (first, count) = (field.index()?, field.index()?);
                     for slice in first..first.saturating_add(count).min(slices) {
-                        if self.counts(forwarder, slice, number) {
-                            // What it was told of the slice stands, but nobody answers for it until it is told who.
-                            self.owned.entry((forwarder, slice)).or_default().push((at, NOBODY));
+                        if self.accept_line(forwarder, slice, number) {
+                            // Its line stays, but the slice has no steward until the next assignment.
+                            self.assigned.entry((forwarder, slice)).or_default().push((at, NO_STREAM));
                         }
                     }
                 }
                 (kind::TABLE, tag::HELD) => {
                     let (slice, server) = (field.index()?, field.number()?);
-                    if self.counts(forwarder, slice, number) {
-                        fresh.insert(slice, stream.servers.get(&server).cloned());
+                    if self.accept_line(forwarder, slice, number) {
+                        new_slices.insert(slice, stream.servers.get(&server).cloned());
                     }
                 }
                 (kind::TABLE, tag::LINE) => {
                     lines += 1;
                     let (slice, server) = (field.index()?, field.number()?);
-                    if self.counts(forwarder, slice, number) {
-                        fresh.remove(&slice);
-                        self.hold(at, forwarder, slice, stream.servers.get(&server).cloned());
+                    if self.accept_line(forwarder, slice, number) {
+                        new_slices.remove(&slice);
+                        self.set_route(at, forwarder, slice, stream.servers.get(&server).cloned());
                     }
                 }
                 (kind::TABLE, tag::DROP) => {
                     lines += 1;
                     let slice = field.index()?;
-                    if self.counts(forwarder, slice, number) {
-                        fresh.remove(&slice);
-                        self.hold(at, forwarder, slice, None);
+                    if self.accept_line(forwarder, slice, number) {
+                        new_slices.remove(&slice);
+                        self.set_route(at, forwarder, slice, None);
                     }
                 }
                 (kind::TABLE, tag::LEVEL | tag::WITHDRAW) => lines += 1,
                 (kind::TABLE, tag::MARK) => {
                     lines += 1;
-                    epoch = Some(field.number()?);
+                    mark = Some(field.number()?);
                 }
                 _ => {}
             }
         }
-        for (slice, server) in fresh {
-            self.hold(at, forwarder, slice, server);
+        for (slice, server) in new_slices {
+            self.set_route(at, forwarder, slice, server);
         }
-        if what == kind::TABLE {
-            self.messages.push(Message { at, stream: number, lines, epoch, term: stream.term });
+        if body_kind == kind::TABLE {
+            self.messages.push(Message { at, stream: number, lines, mark, term: stream.term });
         }
         Ok(())
     }
 
-    /// Since when a forwarder has held a slice for a server, at a time; none if it does not, or did not until then.
-    /// One that has let go of it counts from when it last took it.
-    pub fn held_since(&self, forwarder: u64, slice: usize, server: &str, at: Time) -> Option<Time> {
-        let spans = self.spans.get(&(forwarder, slice))?;
-        let before = spans.iter().rev().filter(|span| span.from <= at);
-        before.into_iter().find(|span| span.server.as_deref() == Some(server)).map(|span| span.from)
+    /// Returns when a forwarder last began to route a slice to a server, up to `at`. `None` if it never did. A route that
+    /// has ended by then counts too.
+    pub fn routed_since(&self, forwarder: u64, slice: usize, server: &str, at: Time) -> Option<Time> {
+        let routes = self.routes.get(&(forwarder, slice))?;
+        let before = routes.iter().rev().filter(|route| route.from <= at);
+        before.into_iter().find(|route| route.server.as_deref() == Some(server)).map(|route| route.from)
     }
 
-    /// Since when a forwarder has had a slice in charge of a steward that it is joined with, and which one that is; none
-    /// while it is not joined with the one in charge.
-    pub fn owned_since(&self, forwarder: u64, slice: usize, at: Time) -> Option<(Time, usize)> {
-        let owned = self.owned.get(&(forwarder, slice))?;
-        let (since, stream) = *owned.iter().rev().find(|(from, _)| *from <= at)?;
-        let joined = self.joined.iter().rev().find(|j| j.stream == stream && j.from <= at && at < j.to)?;
-        Some((since.max(joined.from), self.stewards.get(&stream).copied().unwrap_or(0)))
+    /// Returns the steward that a slice is assigned to at `at` and since when the forwarder has known it while connected
+    /// to it. `None` if it isn't connected to that steward.
+    pub fn assigned_since(&self, forwarder: u64, slice: usize, at: Time) -> Option<(Time, usize)> {
+        let assigned = self.assigned.get(&(forwarder, slice))?;
+        let (since, stream) = *assigned.iter().rev().find(|(from, _)| *from <= at)?;
+        let connection =
+            self.connections.iter().rev().find(|c| c.stream == stream && c.from <= at && at < c.to)?;
+        Some((since.max(connection.from), self.stewards.get(&stream).copied().unwrap_or(0)))
     }
 
-    /// Stretches in which a forwarder was joined with whoever was in charge of a slice, one after the other as one.
-    pub fn covered(&self, forwarder: u64, slice: usize) -> Vec<(Time, Time)> {
-        let owned = self.owned.get(&(forwarder, slice)).map_or(&[][..], Vec::as_slice);
-        let mut covered: Vec<(Time, Time)> = Vec::new();
-        for (i, &(from, stream)) in owned.iter().enumerate() {
-            let to = owned.get(i + 1).map_or(Time::MAX, |next| next.0);
-            for joined in self.joined.iter().filter(|j| j.stream == stream) {
-                let (from, to) = (from.max(joined.from), to.min(joined.to));
-                match covered.last_mut() {
+    /// The periods in which a forwarder was connected to the steward that a slice is assigned to; adjacent ones merged.
+    pub fn connected_periods(&self, forwarder: u64, slice: usize) -> Vec<(Time, Time)> {
+        let assigned = self.assigned.get(&(forwarder, slice)).map_or(&[][..], Vec::as_slice);
+        let mut periods: Vec<(Time, Time)> = Vec::new();
+        for (i, &(from, stream)) in assigned.iter().enumerate() {
+            let to = assigned.get(i + 1).map_or(Time::MAX, |next| next.0);
+            for connection in self.connections.iter().filter(|c| c.stream == stream) {
+                let (from, to) = (from.max(connection.from), to.min(connection.to));
+                match periods.last_mut() {
                     Some(last) if from <= last.1 => last.1 = last.1.max(to),
-                    _ if from < to => covered.push((from, to)),
+                    _ if from < to => periods.push((from, to)),
                     _ => {}
                 }
             }
         }
-        covered
+        periods
     }
 
-    /// How long each hand-over took.
+    /// How long each hand-over took, from the first revoke that any forwarder received.
     pub fn gaps(&self, events: &[Event]) -> Gaps {
-        // The first that any forwarder heard of a revoke, and of the grant after it.
+        // By slice: route changes at all forwarders. The first revoke and the first grant after it make a hand-over.
         let mut changes: BTreeMap<usize, Vec<(Time, Option<&str>)>> = BTreeMap::new();
-        for (&(_, slice), spans) in &self.spans {
-            let reported = spans.iter().map(|span| (span.from, span.server.as_deref()));
-            changes.entry(slice).or_default().extend(reported);
+        for (&(_, slice), routes) in &self.routes {
+            let received = routes.iter().map(|route| (route.from, route.server.as_deref()));
+            changes.entry(slice).or_default().extend(received);
         }
         let mut writes: BTreeMap<usize, Vec<(Time, &str)>> = BTreeMap::new();
         for event in events {
@@ -284,20 +293,20 @@
             }
         }
         let mut gaps = Gaps::default();
-        for (slice, mut reported) in changes {
-            reported.sort();
+        for (slice, mut received) in changes {
+            received.sort();
             let mut owner = None;
             let mut revoked = None;
-            for (at, server) in reported {
+            for (at, server) in received {
                 match server {
                     None if owner.is_some() && revoked.is_none() => revoked = Some(at),
                     Some(server) if owner != Some(server) => {
                         if let (Some(_), Some(from)) = (owner, revoked) {
-                            gaps.lines.push(at - from);
+                            gaps.until_line.push(at - from);
                             let written = writes.get(&slice).into_iter().flatten();
                             let first =
                                 written.filter(|(took, at_server)| *took >= at && *at_server == server);
-                            gaps.writes.extend(first.map(|(took, _)| took - from).min());
+                            gaps.until_write.extend(first.map(|(took, _)| took - from).min());
                         }
                         (owner, revoked) = (Some(server), None);
                     }
@@ -305,37 +314,39 @@
                 }
             }
         }
-        gaps.lines.sort_unstable();
-        gaps.writes.sort_unstable();
+        gaps.until_line.sort_unstable();
+        gaps.until_write.sort_unstable();
         gaps
     }
 }
 
-/// Times of hand-overs, in order.
+/// Durations of hand-overs, sorted.
 #[derive(Clone, Debug, Default)]
 pub struct Gaps {
-    lines: Vec<Time>,
-    writes: Vec<Time>,
+    /// From a revoke to the next line.
+    until_line: Vec<Time>,
+    /// From a revoke to the next write.
+    until_write: Vec<Time>,
 }
 
 impl Gaps {
     pub fn count(&self) -> usize {
-        self.lines.len()
+        self.until_line.len()
     }
 
     pub fn median_route(&self) -> Time {
-        self.lines.get(self.lines.len() / 2).copied().unwrap_or(0)
+        self.until_line.get(self.until_line.len() / 2).copied().unwrap_or(0)
     }
 
     pub fn worst_route(&self) -> Time {
-        self.lines.last().copied().unwrap_or(0)
+        self.until_line.last().copied().unwrap_or(0)
     }
 
     pub fn median_write(&self) -> Time {
-        self.writes.get(self.writes.len() / 2).copied().unwrap_or(0)
+        self.until_write.get(self.until_write.len() / 2).copied().unwrap_or(0)
     }
 
     pub fn worst_write(&self) -> Time {
-        self.writes.last().copied().unwrap_or(0)
+        self.until_write.last().copied().unwrap_or(0)
     }
 }
--- a/crates/lab/src/judge/tests.rs
+++ b/crates/lab/src/judge/tests.rs
@@ -1,25 +1,25 @@
-//! Captures that keep the rules, and one for each way to break one.
+//! Captures that keep all rules, and captures that break each one.
 
 use ravenspar_protocol::{kind, tag, Frame, VERSION};
 use ravenspar_standin::capture::hex;
 
 use super::*;
 
-const KEPT: [usize; 0] = [];
+const NO_VIOLATIONS: [usize; 0] = [];
 const A: u64 = 0;
 const B: u64 = 1;
 
 fn rules() -> Rules {
     let kind = |name: &str, credit| Kind { name: name.to_owned(), credit, response_target: SECOND };
     Rules {
-        unserved_most: 5 * SECOND,
-        grace: 2 * SECOND,
+        max_unserved: 5 * SECOND,
+        drain_grace: 2 * SECOND,
         only_draining_binds: false,
         cold_for: 4 * SECOND,
-        waiting: 100.0,
-        head: 10,
-        messages: 4,
-        window: 10 * SECOND,
+        max_waiting_lines: 100.0,
+        message_cost: 10,
+        max_messages: 4,
+        message_window: 10 * SECOND,
         slices: 2,
         kinds: vec![kind("quote", 1.0), kind("commit", 2.0)],
     }
@@ -29,8 +29,8 @@
     Event::Frame { at, stream, down: true, body: hex(&frame.finish()) }
 }
 
-/// A forwarder joins with both slices at server a.
-fn joins(at: Time, stream: u64, forwarder: u64) -> Vec<Event> {
+/// A forwarder connects and receives both slices, routed to server a.
+fn connects(at: Time, stream: u64, forwarder: u64) -> Vec<Event> {
     let hello = Frame::new(kind::HELLO).numbers(tag::PROXY, &[forwarder]).finish();
     let mut read = Frame::new(kind::READ);
     read.text(tag::SERVER, &[A], "a").text(tag::SERVER, &[B], "b").numbers(tag::CHARGE, &[0, 2, 1]);
@@ -48,14 +48,14 @@
     ]
 }
 
-fn drops(at: Time, stream: u64, epoch: u64) -> Event {
-    down(at, stream, Frame::new(kind::TABLE).numbers(tag::DROP, &[0]).numbers(tag::MARK, &[epoch]))
+fn drops(at: Time, stream: u64, mark: u64) -> Event {
+    down(at, stream, Frame::new(kind::TABLE).numbers(tag::DROP, &[0]).numbers(tag::MARK, &[mark]))
 }
 
-fn grants(at: Time, stream: u64, server: u64, epoch: u64) -> Event {
+fn grants(at: Time, stream: u64, server: u64, mark: u64) -> Event {
     let mut frame = Frame::new(kind::TABLE);
     frame.text(tag::SERVER, &[B], "b").text(tag::SERVER, &[A], "a");
-    down(at, stream, frame.numbers(tag::LINE, &[0, server, 1_000_000]).numbers(tag::MARK, &[epoch]))
+    down(at, stream, frame.numbers(tag::LINE, &[0, server, 1_000_000]).numbers(tag::MARK, &[mark]))
 }
 
 fn listed(at: Time, states: &[(&str, &str, Time)]) -> Event {
@@ -71,13 +71,13 @@
     Event::Ended { at, server: server.to_owned(), req, attempt: 0, slice: 0, writes: true, done: true }
 }
 
-/// The rules that these events, after two forwarders have joined, are found to break.
-fn broken(events: impl IntoIterator<Item = Event>) -> Vec<usize> {
+/// Returns the rules that these events break after two forwarders have connected.
+fn broken_rules(events: impl IntoIterator<Item = Event>) -> Vec<usize> {
     let mut all = vec![listed(0, &[("a", "ready", 0), ("b", "ready", 0)])];
-    all.extend(joins(1, 1, 0));
-    all.extend(joins(1, 2, 1));
+    all.extend(connects(1, 1, 0));
+    all.extend(connects(1, 2, 1));
     all.extend(events);
-    let mut rules: Vec<usize> = judge(&all, &rules()).breaks.iter().map(|b| b.rule).collect();
+    let mut rules: Vec<usize> = judge(&all, &rules()).violations.iter().map(|b| b.rule).collect();
     rules.dedup();
     rules
 }
@@ -93,114 +93,117 @@
         grants(20_010, 2, B, 2),
         took(20_100, "b", 2, 1, 30_000),
         ended(20_200, "b", 2),
-        // And back again.
+        // Back to the first owner.
         drops(30_000, 1, 3),
         drops(30_010, 2, 3),
         grants(50_000, 1, A, 4),
         took(50_100, "a", 3, 0, 60_000),
         ended(50_200, "a", 3),
     ];
-    assert_eq!(broken(events.clone()), KEPT);
-    let gaps = tables::View::new(&[joins(1, 1, 0), events.to_vec()].concat(), 2).gaps(&events);
+    assert_eq!(broken_rules(events.clone()), NO_VIOLATIONS);
+    let gaps = tables::ForwarderTables::new(&[connects(1, 1, 0), events.to_vec()].concat(), 2).gaps(&events);
     assert_eq!((gaps.count(), gaps.worst_route(), gaps.worst_write()), (2, 20_000, 20_100));
 }
 
 #[test]
 fn rule_1_a_slice_without_a_server_for_too_long() {
-    let bare = |at| [drops(100, 1, 1), listed(at, &[("a", "ready", 0)])];
-    assert_eq!(broken(bare(100 + 5 * SECOND)), KEPT);
-    assert_eq!(broken(bare(101 + 5 * SECOND)), [0]);
-    // Not while the list shows nobody, or only a cold server.
+    let unserved = |at| [drops(100, 1, 1), listed(at, &[("a", "ready", 0)])];
+    assert_eq!(broken_rules(unserved(100 + 5 * SECOND)), NO_VIOLATIONS);
+    assert_eq!(broken_rules(unserved(101 + 5 * SECOND)), [0]);
+    // No violation while the list has no server, or only a cold one.
     let hidden = [drops(100, 1, 1), listed(200, &[]), listed(9 * SECOND, &[])];
-    assert_eq!(broken(hidden), KEPT);
+    assert_eq!(broken_rules(hidden), NO_VIOLATIONS);
     let cold = [drops(100, 1, 1), listed(200, &[("a", "ready", 200)]), listed(8 * SECOND, &[])];
-    assert_eq!(broken(cold), KEPT);
+    assert_eq!(broken_rules(cold), NO_VIOLATIONS);
 }
 
 #[test]
-fn rule_2_a_write_while_another_server_has_one_in_hand() {
-    assert_eq!(broken([took(10, "a", 1, 0, 500), grants(100, 2, B, 1), took(200, "b", 2, 1, 900)]), [1]);
+fn rule_2_a_write_while_another_server_has_one_in_progress() {
+    assert_eq!(
+        broken_rules([took(10, "a", 1, 0, 500), grants(100, 2, B, 1), took(200, "b", 2, 1, 900)]),
+        [1]
+    );
     let over = [took(10, "a", 1, 0, 500), ended(50, "a", 1), grants(100, 2, B, 1), took(200, "b", 2, 1, 900)];
-    assert_eq!(broken(over), KEPT);
+    assert_eq!(broken_rules(over), NO_VIOLATIONS);
     let down = Event::Down { at: 60, server: "a".to_owned() };
     assert_eq!(
-        broken([took(10, "a", 1, 0, 500), down, grants(100, 2, B, 1), took(200, "b", 2, 1, 900)]),
-        KEPT
+        broken_rules([took(10, "a", 1, 0, 500), down, grants(100, 2, B, 1), took(200, "b", 2, 1, 900)]),
+        NO_VIOLATIONS
     );
 }
 
 #[test]
 fn rule_2_a_former_owner_after_a_later_one() {
-    let late = [
+    let events = [
         took(10, "a", 1, 0, 20),
         grants(100, 2, B, 1),
         took(200, "b", 2, 1, 300),
         ended(210, "b", 2),
-        // Forwarder 0 was never told.
+        // Forwarder 0 never received the later grant.
         took(400, "a", 3, 0, 500),
     ];
-    assert_eq!(broken(late), [1]);
+    assert_eq!(broken_rules(events), [1]);
 }
 
 #[test]
 fn rule_2_an_effect_twice() {
     let again = [took(10, "a", 1, 0, 20), ended(15, "a", 1), took(30, "a", 1, 0, 40), ended(35, "a", 1)];
-    assert_eq!(broken(again), [1]);
+    assert_eq!(broken_rules(again), [1]);
 }
 
 #[test]
 fn rule_3_a_req_after_the_grace() {
     let drain = |at| [listed(100, &[("a", "draining", 0), ("b", "ready", 0)]), took(at, "a", 1, 0, at + 10)];
-    assert_eq!(broken(drain(100 + 2 * SECOND)), KEPT);
-    assert_eq!(broken(drain(100 + 3 * SECOND)), [2]);
+    assert_eq!(broken_rules(drain(100 + 2 * SECOND)), NO_VIOLATIONS);
+    assert_eq!(broken_rules(drain(100 + 3 * SECOND)), [2]);
     let dropped = [listed(100, &[("b", "ready", 0)]), took(4 * SECOND, "a", 1, 0, 5 * SECOND)];
-    assert_eq!(broken(dropped.clone()), [2]);
-    // A steward that stood still was not told.
+    assert_eq!(broken_rules(dropped.clone()), [2]);
+    // A stopped steward could not read the list.
     let stopped = Event::Steward { at: 90, number: 0, state: "stopped".to_owned() };
-    assert_eq!(broken([vec![stopped], dropped.to_vec()].concat()), KEPT);
+    assert_eq!(broken_rules([vec![stopped], dropped.to_vec()].concat()), NO_VIOLATIONS);
 }
 
-/// A forwarder that is cut off from the steward that a slice was given to is not one of that steward's.
+/// A steward isn't blamed for reqs of a forwarder that is no longer assigned the slice by it.
 #[test]
-fn rule_3_binds_whoever_is_in_charge() {
+fn rule_3_binds_only_the_assigned_steward() {
     let left = down(5, 1, Frame::new(kind::TABLE).numbers(tag::LEFT, &[0, 2]));
     let late = took(4 * SECOND, "a", 1, 7, 5 * SECOND);
     let day = |left: Option<Event>| {
-        let mut events = joins(0, 1, 7);
+        let mut events = connects(0, 1, 7);
         events.extend(left);
         events.extend([listed(10, &[("a", "draining", 0), ("b", "ready", 0)]), late.clone()]);
         events
     };
-    assert_eq!(broken(day(None)), [2]);
-    assert_eq!(broken(day(Some(left))), KEPT);
+    assert_eq!(broken_rules(day(None)), [2]);
+    assert_eq!(broken_rules(day(Some(left))), NO_VIOLATIONS);
 }
 
 #[test]
-fn rule_4_a_cold_server_pushed_over() {
+fn rule_4_a_cold_server_overloaded() {
     let fell =
         |boot| [listed(100, &[("a", "ready", 50)]), Event::Fell { at: 200, server: "a".to_owned(), boot }];
-    assert_eq!(broken(fell(50)), [3]);
-    // Of another start nobody was told.
-    assert_eq!(broken(fell(150)), KEPT);
+    assert_eq!(broken_rules(fell(50)), [3]);
+    // That start was never listed.
+    assert_eq!(broken_rules(fell(150)), NO_VIOLATIONS);
 }
 
 #[test]
 fn rule_5_too_many_messages() {
     let messages = |gap: Time| (1..=5).map(move |n| drops(n as Time * gap, 1, n as u64)).collect::<Vec<_>>();
-    assert_eq!(broken(messages(3 * SECOND)), [0]);
-    assert!(broken(messages(SECOND)).contains(&4));
+    assert_eq!(broken_rules(messages(3 * SECOND)), [0]);
+    assert!(broken_rules(messages(SECOND)).contains(&4));
 }
 
 #[test]
 fn rule_5_too_many_lines_waiting() {
-    // Two updates of 50 lines reach one forwarder, and the other has had none but the first.
-    let update = |at, stream, epoch| {
+    // Two updates of 50 lines reach one forwarder, but only the first reaches the other.
+    let update = |at, stream, mark| {
         let mut frame = Frame::new(kind::TABLE);
         (0..50).for_each(|_| _ = frame.numbers(tag::LEVEL, &[1, 1, 0]));
-        down(at, stream, frame.numbers(tag::MARK, &[epoch]))
+        down(at, stream, frame.numbers(tag::MARK, &[mark]))
     };
-    assert_eq!(broken([update(10, 1, 1), update(10, 2, 1), update(20, 1, 2)]), KEPT);
-    assert_eq!(broken([update(10, 1, 1), update(10, 2, 1), update(20, 1, 2), update(30, 1, 3)]), [4]);
+    assert_eq!(broken_rules([update(10, 1, 1), update(10, 2, 1), update(20, 1, 2)]), NO_VIOLATIONS);
+    assert_eq!(broken_rules([update(10, 1, 1), update(10, 2, 1), update(20, 1, 2), update(30, 1, 3)]), [4]);
 }
 
 #[test]
@@ -216,6 +219,6 @@
         answered(2, 1, done, SECOND + 1),
     ];
     let service = service::count(&events, &rules(), 0);
-    assert_eq!((service.reqs, service.whole), (3, 1.0 / 5.0));
+    assert_eq!((service.reqs, service.total_share), (3, 1.0 / 5.0));
     assert_eq!(service.kinds, [("quote".to_owned(), 1.0), ("commit".to_owned(), 0.0)]);
 }
--- a/crates/lab/src/judge/writers.rs
+++ b/crates/lab/src/judge/writers.rs
@@ -1,13 +1,14 @@
-//! Rule 2: one writer a slice, never a former owner after a later one, and no req has its effect twice.
+//! Rule 2: each slice has one writer at a time, a former owner takes no write after its successor, and no req has its
+//! effect twice.
 
 use std::collections::BTreeMap;
 
 use ravenspar_standin::{Event, Time};
 
-use super::tables::View;
-use super::Break;
+use super::tables::ForwarderTables;
+use super::Violation;
 
-/// A write that a server took in.
+/// A write that a server accepted. It ends when it is done, when the server dies, or at its deadline.
 struct Write<'a> {
     at: Time,
     end: Time,
@@ -16,10 +17,10 @@
     req: u64,
 }
 
-/// Returns how many writes there were.
-pub fn judge(events: &[Event], view: &View, breaks: &mut Vec<Break>) -> usize {
+/// Reports violations and returns the number of writes.
+pub fn judge(events: &[Event], tables: &ForwarderTables, violations: &mut Vec<Violation>) -> usize {
     let mut slices: BTreeMap<u64, Vec<Write>> = BTreeMap::new();
-    // Writes in hand, by server, req and attempt: where they stand.
+    // Writes in progress, by server, req and attempt: the slice and the index of the write in it.
     let mut open: BTreeMap<(&str, u64, u64), (u64, usize)> = BTreeMap::new();
     let mut effects: BTreeMap<u64, (u64, &str)> = BTreeMap::new();
     let mut count = 0;
@@ -43,11 +44,11 @@
                     *times += 1;
                     if *times > 1 {
                         let what = format!("req {req} had its effect at {first} and again at {server}");
-                        breaks.push(Break { rule: 1, at: *at, what });
+                        violations.push(Violation { rule: 1, at: *at, what });
                     }
                 }
             }
-            // What it had in hand has stopped.
+            // Writes in progress at a server end with it.
             Event::Down { at, server } => {
                 open.retain(|&(of, _, _), &mut (slice, index)| {
                     if of == server.as_str() {
@@ -63,28 +64,28 @@
     }
     for (slice, writes) in &slices {
         for (i, write) in writes.iter().enumerate() {
-            // Long past, nothing is in hand any more; the bound keeps long captures cheap to judge.
+            // Looking back over 2,000 writes is enough: older ones have ended. The bound keeps long captures cheap to judge.
             let before = writes[..i].iter().rev().take(2_000);
             if let Some(other) =
                 before.clone().find(|other| other.server != write.server && other.end > write.at)
             {
                 let what = format!(
-                    "a write of slice {slice} (req {}) reached {} while {} had one in hand (req {})",
+                    "a write of slice {slice} (req {}) reached {} while {} had one in progress (req {})",
                     write.req, write.server, other.server, other.req
                 );
-                breaks.push(Break { rule: 1, at: write.at, what });
+                violations.push(Violation { rule: 1, at: write.at, what });
                 continue;
             }
-            // A forwarder that was never told of this owner has held it since for ever.
-            let since = view.held_since(write.forwarder, *slice as usize, write.server, write.at);
+            // A forwarder that never received this owner counts as having had it since before the capture.
+            let since = tables.routed_since(write.forwarder, *slice as usize, write.server, write.at);
             let since = since.unwrap_or(Time::MIN);
             let later = before.into_iter().find(|other| other.server != write.server && other.at > since);
             if let Some(later) = later {
                 let what = format!(
-                    "a write of slice {slice} (req {}) reached {} by forwarder {} after the later owner {} had taken one",
+                    "a write of slice {slice} (req {}) reached {} by forwarder {} after the later owner {} had accepted one",
                     write.req, write.server, write.forwarder, later.server
                 );
-                breaks.push(Break { rule: 1, at: write.at, what });
+                violations.push(Violation { rule: 1, at: write.at, what });
             }
         }
     }
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -109,7 +109,7 @@
         };
         let verdict = judge::judge(&events, &rules);
         let faults = events.iter().filter(|event| matches!(event, Event::Trouble { .. })).count();
-        let first = verdict.breaks.first();
+        let first = verdict.violations.first();
         let verdict_text = match (first, played) {
             (Some(first), _) => format!("{}: {}", judge::RULES[first.rule], first.what),
             (None, true) => "kept".to_owned(),
