--- a/crates/lab/src/day.rs
+++ b/crates/lab/src/day.rs
@@ -1,4 +1,4 @@
-//! A day as its file says it: the fleet, the load, and what goes wrong when.
+//! The definition of a day, as read from its file: the fleet, the load, and the scheduled faults.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -7,7 +7,7 @@
 use ravenspar_standin::{Time, SECOND};
 use serde::{Deserialize, Deserializer};
 
-/// A span of time as `4s` or `250ms`.
+/// A duration, written as `4s` or `250ms`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(pub Time);
 
@@ -20,54 +20,56 @@
     }
 }
 
-/// Whether a file has this entry, which says what kind of day it is.
+/// Returns true if a file has this top-level entry, which tells the kind of day.
 pub fn has(path: &Path, entry: &str) -> bool {
     let text = std::fs::read_to_string(path).unwrap_or_default();
     serde_saphyr::from_str::<serde_json::Value>(&text).is_ok_and(|day| day.get(entry).is_some())
 }
 
-/// Reads a day of this kind. Fails with what was expected and where.
+/// Reads a day of type `T`. The error says what was expected and where.
 pub fn read<T: serde::de::DeserializeOwned>(path: &Path) -> Result<T, String> {
     let shown = path.display();
     let text = std::fs::read_to_string(path).map_err(|e| format!("{shown}: {e}"))?;
     serde_saphyr::from_str(&text).map_err(|e| format!("{shown}: {e}"))
 }
 
+/// A day with servers, stewards, forwarders and clients.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Day {
-    /// What the day is to show.
+    /// What the day demonstrates, for people.
     pub about: String,
     pub seed: u64,
     /// How long clients send.
     pub length: Span,
-    /// The steward's settings, but for `listen`, `record` and `list`, which the lab adds.
+    /// The steward's settings, except those that the lab adds (`listen`, `record`, `list` and others).
     pub steward: serde_json::Value,
     pub servers: Servers,
     pub forwarders: Forwarders,
     pub clients: Clients,
-    /// Stewards that stop themselves at a point, and for how long.
+    /// Stewards that stop themselves at a given point.
     #[serde(default)]
-    pub pauses: Vec<Pause>,
-    /// Between what happens to a server and what the list says of it.
+    pub pauses: Vec<StewardPause>,
+    /// Delay from a change of a server to the change of the list.
     pub notice: Span,
-    /// Whether stewards keep a view of the fleet among themselves.
+    /// If true, the stewards keep a view of the fleet.
     #[serde(default)]
     pub view: bool,
-    /// What befalls each datagram between them.
+    /// The links by which the stewards exchange datagrams for it.
     #[serde(default)]
     pub datagrams: How,
-    #[serde(default)]
-    pub troubles: Vec<Trouble>,
+    #[serde(default, rename = "troubles")]
+    pub faults: Vec<ScheduledFault>,
 }
 
+/// The servers and how they behave when cold or overloaded; see [`ravenspar_standin::server::Model`].
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Servers {
     pub count: usize,
     pub zones: Vec<String>,
     pub cores: usize,
-    /// Dealt out in turn.
+    /// Relative speeds, assigned round-robin.
     pub speeds: Vec<f64>,
     pub queue: usize,
     pub connections: usize,
@@ -77,98 +79,103 @@
     pub fall_for: Span,
 }
 
+/// The forwarders, and those among them that are faulty.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Forwarders {
     pub count: usize,
-    /// Microseconds that a forwarder stands still for each line.
+    /// Microseconds that a forwarder blocks for each line.
     #[serde(default)]
     pub stall_us: u64,
     #[serde(default)]
     pub away_after: u32,
     #[serde(default)]
     pub away_for: Span,
-    /// Those that answer marks without letting go of any slice that they have an owner for.
+    /// Forwarders that acknowledge marks without applying the drops of slices that they have an owner for.
     #[serde(default)]
     pub liars: Vec<usize>,
-    /// Those that take in whatever comes last, and any lease for any slice, as if there were no terms.
+    /// Forwarders that ignore terms: they apply whatever arrives last, and any lease to any slice.
     #[serde(default)]
     pub ignore_terms: Vec<usize>,
-    /// A forwarder that stops itself between the pick and the send of its nth write, and for how long.
-    #[serde(default)]
-    pub stops: Option<Stops>,
+    /// A forwarder that stops itself between the pick and the send of its nth write.
+    #[serde(default, rename = "stops")]
+    pub pause: Option<ForwarderPause>,
 }
 
+/// A steward that stops itself at a given point of its program, once.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Pause {
+pub struct StewardPause {
     pub steward: usize,
-    /// As `ravenspar serve --pause` has it.
+    /// The point, as `ravenspar serve --pause` takes it.
     pub at: String,
     #[serde(rename = "for")]
     pub lasts: Span,
 }
 
+/// A forwarder that stops itself before it sends one of its writes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Stops {
+pub struct ForwarderPause {
     pub forwarder: usize,
+    /// Which write, counted as `--stop-at` of the forwarder counts them.
     pub write: u64,
     #[serde(rename = "for")]
     pub lasts: Span,
 }
 
+/// The load that clients generate.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Clients {
-    /// First tries a second.
+    /// First tries per second.
     pub rate: f64,
     pub keys: u64,
     #[serde(default)]
     pub skew: f64,
     pub retries: u64,
     pub retry_after: Span,
-    /// By request kind.
+    /// Relative share of each request kind.
     pub shares: BTreeMap<String, f64>,
-    /// By request kind: mean work on a core of speed 1.
+    /// Mean work of each request kind on a core of speed 1.
     pub work: BTreeMap<String, Span>,
 }
 
-/// How a way is in one direction.
+/// Conditions of a link in one direction.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct How {
-    /// Nothing passes; streams stay open and silent.
+    /// Nothing passes; streams stay open without traffic.
     #[serde(default)]
     pub cut: bool,
-    /// Nothing passes; streams end, and new ones find nobody.
+    /// Nothing passes; streams are closed, and new ones are refused.
     #[serde(default)]
     pub closed: bool,
-    /// The share that is lost; of a stream that comes again, later.
+    /// The share of pieces lost. Streams retransmit them later.
     #[serde(default)]
     pub lost: f64,
-    /// The share of datagrams that come twice.
+    /// The share of datagrams that are duplicated.
     #[serde(default)]
     pub doubled: f64,
-    /// Each is up to so much later; datagrams get out of order by it.
+    /// The longest random delay of a piece; it reorders datagrams.
     #[serde(default)]
     pub late: Span,
-    /// What passes at most.
+    /// Bandwidth limit.
     #[serde(default)]
     pub bytes_per_s: Option<u32>,
 }
 
 impl How {
     fn check(&self) -> Result<(), String> {
-        let share = |of: f64| (0.0..=1.0).contains(&of);
-        match share(self.lost) && share(self.doubled) && self.bytes_per_s != Some(0) {
+        let is_share = |value: f64| (0.0..=1.0).contains(&value);
+        match is_share(self.lost) && is_share(self.doubled) && self.bytes_per_s != Some(0) {
             true => Ok(()),
             false => Err("lost and doubled: expected shares from 0 to 1, bytes_per_s: 1 or more".to_owned()),
         }
     }
 }
 
-/// Some ends of ways: `store`, `stewards`, `forwarders`, or one of them as `steward-2`.
+/// Endpoints of links: `store`, `stewards`, `forwarders`, or a single one as `steward-2`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ends {
     Store,
@@ -194,42 +201,43 @@
     }
 }
 
-/// One piece of trouble: when, what, on which part of the fleet. Targets are drawn from the day's seed.
+/// A fault and when to inject it. Targets that the file doesn't name are drawn from the day's seed.
 #[derive(Clone, Debug)]
-pub struct Trouble {
-    /// From when clients begin.
+pub struct ScheduledFault {
+    /// Counted from when clients begin.
     pub at: Span,
-    pub what: What,
+    pub what: FaultKind,
 }
 
-impl<'de> Deserialize<'de> for Trouble {
-    /// Takes `at` out of the map, so that what is left can be refused where it is unknown.
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Trouble, D::Error> {
+impl<'de> Deserialize<'de> for ScheduledFault {
+    /// Removes `at` from the map first, so that unknown fields among the rest are refused.
+    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<ScheduledFault, D::Error> {
         use serde::de::Error;
         let mut map = serde_json::Map::deserialize(from)?;
         let at = map.remove("at").ok_or_else(|| D::Error::missing_field("at"))?;
         let at = serde_json::from_value(at).map_err(D::Error::custom)?;
         let what = serde_json::from_value(map.into()).map_err(D::Error::custom)?;
-        Ok(Trouble { at, what })
+        Ok(ScheduledFault { at, what })
     }
 }
 
+/// The faults that a day can inject. Their debug form is written to the capture, so variants and fields keep their names.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "what", deny_unknown_fields)]
-pub enum What {
-    /// Servers are listed as draining, finish, and go after `stay`.
+pub enum FaultKind {
+    /// Servers are listed as draining, finish their work, and leave after `stay`.
     Drain { servers: usize, stay: Span },
-    /// A rolling deploy: some at a time drain, go after `stay`, and a successor comes up cold for each.
+    /// A rolling deploy: `at_once` servers at a time drain and leave after `stay`, and each is replaced by a cold one.
     Deploy { servers: usize, at_once: usize, every: Span, stay: Span },
-    /// Servers die, the list hears of it, and they come back cold.
+    /// Servers die, leave the list, and come back cold.
     Kill { servers: usize, back_after: Span },
-    /// Servers accept and say nothing, and the list shows them as ready.
+    /// Servers accept connections but never respond, while the list has them as ready.
     Hang { servers: usize, lasts: Span },
-    /// All servers restart within a time and come back cold.
+    /// All servers restart, spread over `within`, and come back cold.
     RestartAll { within: Span },
-    /// All servers of a zone, the nth of them, die and come back cold.
+    /// All servers of the zone with this index die and come back cold.
     LoseZone { zone: usize, back_after: Span },
-    /// Servers fail a share of their reqs, of one kind where named, at once or by silence.
+    /// Servers fail a share of their reqs, or of those of one kind, with an error or (`silent`) without any response.
     Fail {
         servers: usize,
         share: f64,
@@ -238,31 +246,31 @@
         silent: bool,
         lasts: Span,
     },
-    /// Servers say of their load what isn't so.
+    /// Servers report a false load.
     FalseLoad { servers: usize, says: f64, lasts: Span },
-    /// Connections to servers take this long to be of use.
+    /// Connections to servers take this long to become usable.
     SlowConnects { servers: usize, by: Span, lasts: Span },
-    /// The list leaves out servers that live.
+    /// The list leaves out servers that are up.
     ListDrops { servers: usize, lasts: Span },
-    /// The list shows servers now and then.
+    /// The list leaves servers out and shows them again, in turns of `every`.
     ListFlaps { servers: usize, every: Span, lasts: Span },
-    /// The list shows none.
+    /// The list is empty.
     ListEmpty { lasts: Span },
-    /// The list's file is cut off in the middle.
+    /// The list's file is truncated.
     ListTorn { lasts: Span },
-    /// Streams between forwarders and the steward break.
+    /// Streams between forwarders and stewards are closed.
     CutStreams { forwarders: usize },
-    /// Forwarders reach no steward.
+    /// Forwarders can't reach any steward.
     Isolate { forwarders: usize, lasts: Span },
-    /// Forwarders read nothing of their streams.
+    /// Forwarders receive nothing on their streams.
     Deafen { forwarders: usize, lasts: Span },
     /// Forwarders are killed and started again.
     KillForwarders { forwarders: usize, back_after: Span },
-    /// Forwarders are stopped, as by SIGSTOP, and continued.
+    /// Forwarders are stopped by SIGSTOP and continued.
     PauseForwarders { forwarders: usize, lasts: Span },
-    /// All forwarders are restarted one after the other.
+    /// All forwarders are killed and restarted one by one.
     RollForwarders { every: Span },
-    /// Stewards are killed and started again: these, or so many drawn, or one.
+    /// Stewards are killed and started again: those in `which`, or else `stewards` of them at random.
     KillSteward {
         back_after: Span,
         #[serde(default)]
@@ -270,7 +278,7 @@
         #[serde(default = "one")]
         stewards: usize,
     },
-    /// Stewards are stopped and continued.
+    /// Stewards are stopped by SIGSTOP and continued.
     PauseSteward {
         lasts: Span,
         #[serde(default)]
@@ -278,7 +286,7 @@
         #[serde(default = "one")]
         stewards: usize,
     },
-    /// Stewards run for `on` and stand still for `off`, again and again.
+    /// Stewards alternate: they run for `on` and are stopped for `off`.
     CrawlSteward {
         on: Span,
         off: Span,
@@ -288,11 +296,11 @@
         #[serde(default = "one")]
         stewards: usize,
     },
-    /// All stewards, one after the other, end in order and are started again.
+    /// All stewards are shut down in order and started again, one by one.
     RollStewards { every: Span },
-    /// Until the end stewards are killed, stopped, cut off from the store or from forwarders, and revived, at random.
+    /// Random faults of stewards: they are killed, stopped, or cut off from the store or from forwarders, and recover.
     VexStewards { every: Span, lasts: Span },
-    /// Stewards don't reach the store.
+    /// Stewards can't reach the store.
     CutStore {
         lasts: Span,
         #[serde(default)]
@@ -300,7 +308,7 @@
         #[serde(default = "one")]
         stewards: usize,
     },
-    /// No forwarder reaches these stewards.
+    /// No forwarder can reach these stewards.
     CutSteward {
         lasts: Span,
         #[serde(default)]
@@ -308,21 +316,21 @@
         #[serde(default = "one")]
         stewards: usize,
     },
-    /// Forwarders reach one steward alone.
+    /// Forwarders can reach only one steward, drawn for each.
     OneStewardOnly { forwarders: usize, lasts: Span },
-    /// Ways from these to those, this direction alone.
+    /// Changes the links from some endpoints to others, in this direction only.
     Way { from: Vec<Ends>, to: Vec<Ends>, how: How, lasts: Span },
-    /// What a steward sends is held up on the way, and arrives when that ends.
+    /// What a steward sends to forwarders is held back, and arrives when the fault ends.
     HoldSteward { steward: usize, lasts: Span },
-    /// The store answers nobody, and goes on with what it held.
+    /// The store is unavailable, and comes back with its data.
     StoreAway { lasts: Span },
-    /// The store takes this long for each call.
+    /// The store delays each call by this long.
     StoreSlow { by: Span, lasts: Span },
-    /// The store loses the membership of a steward before its time.
+    /// The store drops the membership lease of a steward early.
     LoseMember,
-    /// New servers are switched on, cold.
+    /// New servers start, cold.
     Grow { servers: usize },
-    /// Clients send so many times as much.
+    /// The request rate of clients is multiplied by `times`.
     Overload { times: f64, lasts: Span },
 }
 
@@ -331,7 +339,7 @@
 }
 
 impl Day {
-    /// How many stewards share; 1 where the record is embedded.
+    /// The number of stewards; 1 if the record is embedded rather than in a shared store.
     pub fn stewards(&self) -> usize {
         let shared = self.steward.get("store").is_some_and(|store| store == "etcd");
         let count = self.steward.get("stewards").and_then(|count| count.as_u64()).unwrap_or(1);
@@ -342,7 +350,7 @@
         }
     }
 
-    /// Fails with all that is wrong, each line with its place.
+    /// Reads and checks a day. The error starts with the file, line and column.
     pub fn load(path: &Path) -> Result<Day, String> {
         let text = std::fs::read_to_string(path)
             .map_err(|e| format!("{}:1:1: can't be read: {e}", path.display()))?;
@@ -377,8 +385,8 @@
             return Err("clients.shares and servers.speeds: expected numbers above 0".to_owned());
         }
         self.datagrams.check().map_err(|what| format!("datagrams: {what}"))?;
-        for trouble in &self.troubles {
-            let What::Way { from, to, how, .. } = &trouble.what else { continue };
+        for fault in &self.faults {
+            let FaultKind::Way { from, to, how, .. } = &fault.what else { continue };
             how.check()?;
             let known = |ends: &Ends| match *ends {
                 Ends::Stewards(Some(n)) => n < self.stewards(),
@@ -386,7 +394,7 @@
                 _ => true,
             };
             if let Some(end) = from.iter().chain(to).find(|end| !known(end)) {
-                return Err(format!("way: {end:?}: there is none of this number"));
+                return Err(format!("way: {end:?}: there is no such process"));
             }
         }
         if let Some(kind) = self.clients.shares.keys().find(|kind| !self.clients.work.contains_key(*kind)) {
--- a/crates/lab/src/troubles.rs
+++ b/crates/lab/src/faults.rs
@@ -1,4 +1,4 @@
-//! What can go wrong on a day, piece by piece.
+//! Injects the faults of a day.
 
 use ravenspar::print_line;
 use std::io;
@@ -9,34 +9,34 @@
 use ravenspar_standin::{duration, Event, Time, SECOND};
 use tokio::time::sleep;
 
-use crate::day::{Ends, How, Pause, Span, Stops, What};
+use crate::day::{Ends, FaultKind, ForwarderPause, How, Span, StewardPause};
 use crate::stage::Fleet;
 use crate::ways::{End, Way};
 
-/// Causes one piece and sees it to its end.
-pub async fn cause(fleet: &Rc<Fleet>, what: &What, began: Time) -> io::Result<()> {
+/// Injects one fault and returns when it has ended.
+pub async fn inject(fleet: &Rc<Fleet>, what: &FaultKind, began: Time) -> io::Result<()> {
     let text = format!("{what:?}");
     print_line(format_args!("{:7.3} s  {text}", (fleet.capture.now() - began) as f64 / SECOND as f64));
     fleet.capture.note(|at| Event::Trouble { at, text });
     let wait = |span: Span| sleep(duration(span.0));
     match what {
-        What::Drain { servers, stay } => {
-            for server in draw(fleet, *servers) {
+        FaultKind::Drain { servers, stay } => {
+            for server in pick_servers(fleet, *servers) {
                 fleet.listing.show(&server, "draining");
                 let (fleet, stay) = (fleet.clone(), *stay);
-                tokio::task::spawn_local(async move { leave(&fleet, &server, stay).await });
+                tokio::task::spawn_local(async move { retire(&fleet, &server, stay).await });
             }
             wait(*stay).await;
         }
-        What::Deploy { servers, at_once, every, stay } => {
-            let leavers = draw(fleet, *servers);
+        FaultKind::Deploy { servers, at_once, every, stay } => {
+            let leavers = pick_servers(fleet, *servers);
             let mut waves = Vec::new();
             for wave in leavers.chunks((*at_once).max(1)) {
                 for server in wave {
                     let (fleet, server, stay) = (fleet.clone(), server.clone(), *stay);
                     waves.push(tokio::task::spawn_local(async move {
                         fleet.listing.show(&server, "draining");
-                        leave(&fleet, &server, stay).await;
+                        retire(&fleet, &server, stay).await;
                         start_cold(&fleet).await
                     }));
                 }
@@ -46,17 +46,17 @@
                 wave.await.map_err(io::Error::other)??;
             }
         }
-        What::Kill { servers, back_after } => {
-            down_and_back(fleet, draw(fleet, *servers), *back_after).await?
+        FaultKind::Kill { servers, back_after } => {
+            kill_and_revive(fleet, pick_servers(fleet, *servers), *back_after).await?
         }
-        What::LoseZone { zone, back_after } => {
+        FaultKind::LoseZone { zone, back_after } => {
             let zones = &fleet.day.servers.zones;
             let name = &zones[zone % zones.len()];
-            let all = up(fleet).into_iter().filter(|server| server.zone == *name).collect();
-            down_and_back(fleet, all, *back_after).await?;
+            let all = running_servers(fleet).into_iter().filter(|server| server.zone == *name).collect();
+            kill_and_revive(fleet, all, *back_after).await?;
         }
-        What::RestartAll { within } => {
-            let all = up(fleet);
+        FaultKind::RestartAll { within } => {
+            let all = running_servers(fleet);
             let gap = duration(within.0 / all.len().max(1) as Time);
             for server in all {
                 server.die();
@@ -70,37 +70,39 @@
             }
             wait(fleet.day.notice).await;
         }
-        What::Hang { servers, lasts } => ail(fleet, *servers, *lasts, |ills| ills.hung = true).await,
-        What::Fail { servers, share, kind, silent, lasts } => {
+        FaultKind::Hang { servers, lasts } => {
+            degrade_servers(fleet, *servers, *lasts, |faults| faults.hung = true).await
+        }
+        FaultKind::Fail { servers, share, kind, silent, lasts } => {
             let names: Vec<&String> = fleet.day.clients.shares.keys().collect();
             let kinds = fleet.day.steward.get("kinds").and_then(|kinds| kinds.as_array());
-            let place =
+            let index_of =
                 |name: &String| kinds?.iter().position(|kind| kind.get("name").is_some_and(|n| n == name));
             let failing_kind = match kind {
-                Some(name) => Some(place(name).ok_or_else(|| {
+                Some(name) => Some(index_of(name).ok_or_else(|| {
                     io::Error::other(format!("fail: kind {name} is unknown, expected one of {names:?}"))
                 })? as u64),
                 None => None,
             };
-            ail(fleet, *servers, *lasts, |ills| {
-                (ills.failing, ills.failing_kind, ills.silent) = (*share, failing_kind, *silent);
+            degrade_servers(fleet, *servers, *lasts, |faults| {
+                (faults.failing, faults.failing_kind, faults.silent) = (*share, failing_kind, *silent);
             })
             .await;
         }
-        What::FalseLoad { servers, says, lasts } => {
-            ail(fleet, *servers, *lasts, |ills| ills.says = Some(*says)).await;
+        FaultKind::FalseLoad { servers, says, lasts } => {
+            degrade_servers(fleet, *servers, *lasts, |faults| faults.says = Some(*says)).await;
         }
-        What::SlowConnects { servers, by, lasts } => {
-            ail(fleet, *servers, *lasts, |ills| ills.slow_connects = by.0).await;
+        FaultKind::SlowConnects { servers, by, lasts } => {
+            degrade_servers(fleet, *servers, *lasts, |faults| faults.slow_connects = by.0).await;
         }
-        What::ListDrops { servers, lasts } => {
-            let hidden = draw(fleet, *servers);
+        FaultKind::ListDrops { servers, lasts } => {
+            let hidden = pick_servers(fleet, *servers);
             fleet.listing.hide(&hidden, true);
             wait(*lasts).await;
             fleet.listing.hide(&hidden, false);
         }
-        What::ListFlaps { servers, every, lasts } => {
-            let hidden = draw(fleet, *servers);
+        FaultKind::ListFlaps { servers, every, lasts } => {
+            let hidden = pick_servers(fleet, *servers);
             let end = fleet.capture.now() + lasts.0;
             while fleet.capture.now() < end {
                 fleet.listing.hide(&hidden, true);
@@ -109,33 +111,33 @@
                 wait(*every).await;
             }
         }
-        What::ListEmpty { lasts } => {
+        FaultKind::ListEmpty { lasts } => {
             fleet.listing.set_empty(true);
             wait(*lasts).await;
             fleet.listing.set_empty(false);
         }
-        What::ListTorn { lasts } => {
+        FaultKind::ListTorn { lasts } => {
             fleet.listing.set_torn(true);
             wait(*lasts).await;
             fleet.listing.set_torn(false);
         }
-        What::CutStreams { forwarders } => {
-            let numbers = draw_forwarders(fleet, *forwarders);
+        FaultKind::CutStreams { forwarders } => {
+            let numbers = pick_forwarders(fleet, *forwarders);
             numbers.iter().flat_map(|&number| &fleet.relays[number]).for_each(|streams| streams.cut());
         }
-        What::Isolate { forwarders, lasts } => {
-            let numbers = draw_forwarders(fleet, *forwarders);
+        FaultKind::Isolate { forwarders, lasts } => {
+            let numbers = pick_forwarders(fleet, *forwarders);
             let pairs = pairs(&numbers, &all_stewards(fleet));
-            close(fleet, &pairs, *lasts).await;
+            close_links(fleet, &pairs, *lasts).await;
         }
-        What::Deafen { forwarders, lasts } => {
-            let numbers = draw_forwarders(fleet, *forwarders);
+        FaultKind::Deafen { forwarders, lasts } => {
+            let numbers = pick_forwarders(fleet, *forwarders);
             let down =
                 pairs(&numbers, &all_stewards(fleet)).into_iter().map(|(f, s)| (s, f)).collect::<Vec<_>>();
-            hold(fleet, &down, *lasts).await;
+            cut_links(fleet, &down, *lasts).await;
         }
-        What::KillForwarders { forwarders, back_after } => {
-            let numbers = draw_forwarders(fleet, *forwarders);
+        FaultKind::KillForwarders { forwarders, back_after } => {
+            let numbers = pick_forwarders(fleet, *forwarders);
             for &number in &numbers {
                 fleet.kill_forwarder(number).await;
             }
@@ -144,8 +146,8 @@
                 fleet.start_forwarder(number).await?;
             }
         }
-        What::PauseForwarders { forwarders, lasts } => {
-            let numbers = draw_forwarders(fleet, *forwarders);
+        FaultKind::PauseForwarders { forwarders, lasts } => {
+            let numbers = pick_forwarders(fleet, *forwarders);
             for &number in &numbers {
                 fleet.signal_forwarder(number, "STOP", "stopped").await;
             }
@@ -154,15 +156,15 @@
                 fleet.signal_forwarder(number, "CONT", "continued").await;
             }
         }
-        What::RollForwarders { every } => {
+        FaultKind::RollForwarders { every } => {
             for number in 0..fleet.day.forwarders.count {
                 fleet.kill_forwarder(number).await;
                 fleet.start_forwarder(number).await?;
                 wait(*every).await;
             }
         }
-        What::KillSteward { back_after, which, stewards } => {
-            let numbers = draw_stewards(fleet, which, *stewards);
+        FaultKind::KillSteward { back_after, which, stewards } => {
+            let numbers = pick_stewards(fleet, which, *stewards);
             for &number in &numbers {
                 fleet.kill_steward(number).await;
             }
@@ -171,8 +173,8 @@
                 fleet.start_steward(number).await?;
             }
         }
-        What::PauseSteward { lasts, which, stewards } => {
-            let numbers = draw_stewards(fleet, which, *stewards);
+        FaultKind::PauseSteward { lasts, which, stewards } => {
+            let numbers = pick_stewards(fleet, which, *stewards);
             for &number in &numbers {
                 fleet.signal_steward(number, "STOP", "stopped").await;
             }
@@ -181,8 +183,8 @@
                 fleet.signal_steward(number, "CONT", "continued").await;
             }
         }
-        What::CrawlSteward { on, off, lasts, which, stewards } => {
-            let numbers = draw_stewards(fleet, which, *stewards);
+        FaultKind::CrawlSteward { on, off, lasts, which, stewards } => {
+            let numbers = pick_stewards(fleet, which, *stewards);
             let until = fleet.capture.now() + lasts.0;
             while fleet.capture.now() < until {
                 for &number in &numbers {
@@ -195,7 +197,7 @@
                 wait(*on).await;
             }
         }
-        What::RollStewards { every } => {
+        FaultKind::RollStewards { every } => {
             for number in 0..fleet.stewards.len() {
                 let code = fleet.end_steward(number).await;
                 if code != Some(0) {
@@ -205,75 +207,75 @@
                 wait(*every).await;
             }
         }
-        What::VexStewards { every, lasts } => {
-            let cause = |fleet: Rc<Fleet>, what: What, began| -> crate::vex::Caused {
-                Box::pin(async move { cause(&fleet, &what, began).await })
+        FaultKind::VexStewards { every, lasts } => {
+            let inject = |fleet: Rc<Fleet>, what: FaultKind, began| -> crate::random_faults::InjectedFault {
+                Box::pin(async move { inject(&fleet, &what, began).await })
             };
-            crate::vex::stewards(fleet, *every, *lasts, cause).await?;
+            crate::random_faults::inject_into_stewards(fleet, *every, *lasts, inject).await?;
         }
-        What::CutStore { lasts, which, stewards } => {
-            let numbers = draw_stewards(fleet, which, *stewards);
+        FaultKind::CutStore { lasts, which, stewards } => {
+            let numbers = pick_stewards(fleet, which, *stewards);
             let pairs: Vec<_> = numbers.into_iter().map(|n| (End::Steward(n), End::Store)).collect();
-            close(fleet, &pairs, *lasts).await;
+            close_links(fleet, &pairs, *lasts).await;
         }
-        What::CutSteward { lasts, which, stewards } => {
-            let pairs = pairs(&all_forwarders(fleet), &draw_stewards(fleet, which, *stewards));
-            close(fleet, &pairs, *lasts).await;
+        FaultKind::CutSteward { lasts, which, stewards } => {
+            let pairs = pairs(&all_forwarders(fleet), &pick_stewards(fleet, which, *stewards));
+            close_links(fleet, &pairs, *lasts).await;
         }
-        What::OneStewardOnly { forwarders, lasts } => {
-            let numbers = draw_forwarders(fleet, *forwarders);
+        FaultKind::OneStewardOnly { forwarders, lasts } => {
+            let numbers = pick_forwarders(fleet, *forwarders);
             let count = fleet.stewards.len();
             let mut all = Vec::new();
             for number in numbers {
-                let kept = fleet.chance.borrow_mut().usize(0..count);
-                let others: Vec<usize> = (0..count).filter(|&steward| steward != kept).collect();
-                all.extend(pairs(&[number], &others));
+                let reachable = fleet.rng.borrow_mut().usize(0..count);
+                let unreachable: Vec<usize> = (0..count).filter(|&steward| steward != reachable).collect();
+                all.extend(pairs(&[number], &unreachable));
             }
-            close(fleet, &all, *lasts).await;
+            close_links(fleet, &all, *lasts).await;
         }
-        What::Way { from, to, how, lasts } => {
+        FaultKind::Way { from, to, how, lasts } => {
             let ends = |all: &[Ends]| all.iter().flat_map(|ends| ends_of(fleet, *ends)).collect::<Vec<End>>();
             let (from, to) = (ends(from), ends(to));
-            let ways: Vec<(End, End)> =
+            let links: Vec<(End, End)> =
                 from.iter().flat_map(|&a| to.iter().map(move |&b| (a, b))).filter(|(a, b)| a != b).collect();
-            fleet.ways.change(ways.iter().copied(), |way| worsen(way, how));
+            fleet.links.change(links.iter().copied(), |link| apply_conditions(link, how));
             wait(*lasts).await;
-            for (from, to) in ways {
-                let baseline = fleet.ways.baseline(from, to);
-                fleet.ways.change([(from, to)], |way| mend(way, how, &baseline));
+            for (from, to) in links {
+                let baseline = fleet.links.baseline(from, to);
+                fleet.links.change([(from, to)], |link| restore_conditions(link, how, &baseline));
             }
         }
-        What::HoldSteward { steward, lasts } => {
+        FaultKind::HoldSteward { steward, lasts } => {
             let down = pairs(&all_forwarders(fleet), &[*steward])
                 .into_iter()
                 .map(|(f, s)| (s, f))
                 .collect::<Vec<_>>();
-            hold(fleet, &down, *lasts).await;
+            cut_links(fleet, &down, *lasts).await;
         }
-        What::StoreAway { lasts } => {
+        FaultKind::StoreAway { lasts } => {
             set_store(fleet, Faults { away: true, ..Faults::default() });
             wait(*lasts).await;
             set_store(fleet, Faults::default());
         }
-        What::StoreSlow { by, lasts } => {
+        FaultKind::StoreSlow { by, lasts } => {
             set_store(fleet, Faults { slow: duration(by.0), ..Faults::default() });
             wait(*lasts).await;
             set_store(fleet, Faults::default());
         }
-        What::LoseMember => {
+        FaultKind::LoseMember => {
             if let Some(store) = &fleet.store {
                 let leases = store.leases();
-                if let Some(&lease) = fleet.chance.borrow_mut().choice(&leases) {
+                if let Some(&lease) = fleet.rng.borrow_mut().choice(&leases) {
                     store.lose_lease(lease);
                 }
             }
         }
-        What::Grow { servers } => {
+        FaultKind::Grow { servers } => {
             for _ in 0..*servers {
                 start_cold(fleet).await?;
             }
         }
-        What::Overload { times, lasts } => {
+        FaultKind::Overload { times, lasts } => {
             fleet.clients.times.set(*times);
             wait(*lasts).await;
             fleet.clients.times.set(1.0);
@@ -282,60 +284,62 @@
     Ok(())
 }
 
-/// Continues a forwarder that stops itself, some time after it has.
-pub async fn continue_stopped(fleet: Rc<Fleet>, stops: Stops) {
+/// Continues a forwarder that stops itself, once its pause is over.
+pub async fn continue_forwarder(fleet: Rc<Fleet>, pause: ForwarderPause) {
     loop {
         sleep(std::time::Duration::from_millis(20)).await;
-        let stopped = match fleet.forwarders[stops.forwarder].lock().await.as_ref() {
+        let stopped = match fleet.forwarders[pause.forwarder].lock().await.as_ref() {
             Some(process) => process.is_stopped(),
             None => false,
         };
         if stopped {
             fleet.capture.note(|at| Event::Forwarder {
                 at,
-                number: stops.forwarder as u64,
+                number: pause.forwarder as u64,
                 state: "stopped between pick and send".to_owned(),
             });
-            sleep(duration(stops.lasts.0)).await;
-            fleet.signal_forwarder(stops.forwarder, "CONT", "continued").await;
+            sleep(duration(pause.lasts.0)).await;
+            fleet.signal_forwarder(pause.forwarder, "CONT", "continued").await;
             return;
         }
     }
 }
 
-/// The same for a steward.
-pub async fn continue_paused(fleet: Rc<Fleet>, pause: Pause) {
+/// Continues a steward that stops itself, once its pause is over.
+pub async fn continue_steward(fleet: Rc<Fleet>, pause: StewardPause) {
     loop {
         sleep(std::time::Duration::from_millis(20)).await;
-        let place = fleet.stewards[pause.steward].lock().await;
-        let stopped = place.as_ref().filter(|process| process.is_stopped()).and_then(|process| process.id());
-        drop(place);
+        let slot = fleet.stewards[pause.steward].lock().await;
+        let stopped = slot.as_ref().filter(|process| process.is_stopped()).and_then(|process| process.id());
+        drop(slot);
         if let Some(id) = stopped {
             let text = format!("steward {} stands still at {}", pause.steward, pause.at);
             print_line(&text);
             fleet.capture.note(|at| Event::Trouble { at, text });
-            fleet.note_steward(pause.steward, "stopped");
+            fleet.record_steward_state(pause.steward, "stopped");
             sleep(duration(pause.lasts.0)).await;
-            // It may be asked to end by now, and has no place in the fleet any more.
+            // Signalled by its id: if it is being shut down by now, it is no longer in its slot.
             crate::processes::send(id, "CONT").await;
-            fleet.note_steward(pause.steward, "continued");
+            fleet.record_steward_state(pause.steward, "continued");
             return;
         }
     }
 }
 
-fn up(fleet: &Fleet) -> Vec<Rc<Server>> {
+/// Returns the servers that are up.
+fn running_servers(fleet: &Fleet) -> Vec<Rc<Server>> {
     fleet.servers.borrow().iter().filter(|server| server.is_up()).cloned().collect()
 }
 
-/// Some of the servers that are up, drawn from the day's seed.
-fn draw(fleet: &Fleet, count: usize) -> Vec<Rc<Server>> {
-    let mut all = up(fleet);
-    fleet.chance.borrow_mut().shuffle(&mut all);
+/// Picks servers that are up, at random from the day's seed.
+fn pick_servers(fleet: &Fleet, count: usize) -> Vec<Rc<Server>> {
+    let mut all = running_servers(fleet);
+    fleet.rng.borrow_mut().shuffle(&mut all);
     all.truncate(count);
     all
 }
 
+/// Replaces the faults of the store, if there is one.
 fn set_store(fleet: &Fleet, faults: Faults) {
     fleet.store.iter().for_each(|store| store.set_faults(faults.clone()));
 }
@@ -348,12 +352,13 @@
     (0..fleet.day.forwarders.count).collect()
 }
 
-/// Every pair of these forwarders and those stewards.
+/// All pairs of a forwarder and a steward.
 fn pairs(forwarders: &[usize], stewards: &[usize]) -> Vec<(End, End)> {
     let pair = |f: usize| stewards.iter().map(move |&s| (End::Forwarder(f), End::Steward(s)));
     forwarders.iter().flat_map(|&f| pair(f)).collect()
 }
 
+/// Expands the endpoints named in a day file.
 fn ends_of(fleet: &Fleet, ends: Ends) -> Vec<End> {
     match ends {
         Ends::Store => vec![End::Store],
@@ -364,78 +369,81 @@
     }
 }
 
-/// Closes both directions for a time. Of several that overlap the last to end opens them.
-async fn close(fleet: &Fleet, pairs: &[(End, End)], lasts: Span) {
-    fleet.ways.change_between(pairs.iter().copied(), |way| way.closed += 1);
+/// Closes links in both directions for a time. Where faults overlap, the last to end reopens them.
+async fn close_links(fleet: &Fleet, pairs: &[(End, End)], lasts: Span) {
+    fleet.links.change_between(pairs.iter().copied(), |link| link.closed += 1);
     sleep(duration(lasts.0)).await;
-    fleet.ways.change_between(pairs.iter().copied(), |way| way.closed -= 1);
+    fleet.links.change_between(pairs.iter().copied(), |link| link.closed -= 1);
 }
 
-/// Holds what goes one way for a time.
-async fn hold(fleet: &Fleet, ways: &[(End, End)], lasts: Span) {
-    fleet.ways.change(ways.iter().copied(), |way| way.cut += 1);
+/// Holds back what crosses links in one direction for a time.
+async fn cut_links(fleet: &Fleet, links: &[(End, End)], lasts: Span) {
+    fleet.links.change(links.iter().copied(), |link| link.cut += 1);
     sleep(duration(lasts.0)).await;
-    fleet.ways.change(ways.iter().copied(), |way| way.cut -= 1);
+    fleet.links.change(links.iter().copied(), |link| link.cut -= 1);
 }
 
-fn worsen(way: &mut Way, how: &How) {
-    way.cut += usize::from(how.cut);
-    way.closed += usize::from(how.closed);
+/// Applies conditions to a link. Cuts and closes of several faults add up; other conditions replace earlier ones.
+fn apply_conditions(link: &mut Way, how: &How) {
+    link.cut += usize::from(how.cut);
+    link.closed += usize::from(how.closed);
     if how.lost > 0.0 {
-        way.loss = how.lost;
+        link.loss = how.lost;
     }
     if how.doubled > 0.0 {
-        way.doubled = how.doubled;
+        link.doubled = how.doubled;
     }
     if how.late.0 > 0 {
-        way.late = duration(how.late.0);
+        link.late = duration(how.late.0);
     }
-    way.pace = how.bytes_per_s.or(way.pace);
+    link.pace = how.bytes_per_s.or(link.pace);
 }
 
-/// Takes back what [`worsen`] did; of several that overlap in losses or lateness the last to end mends all.
-fn mend(way: &mut Way, how: &How, baseline: &Way) {
-    way.cut -= usize::from(how.cut);
-    way.closed -= usize::from(how.closed);
+/// Undoes [`apply_conditions`]. Where faults overlap, the first to end restores loss, duplicates, delay and bandwidth.
+fn restore_conditions(link: &mut Way, how: &How, baseline: &Way) {
+    link.cut -= usize::from(how.cut);
+    link.closed -= usize::from(how.closed);
     if how.lost > 0.0 {
-        way.loss = baseline.loss;
+        link.loss = baseline.loss;
     }
     if how.doubled > 0.0 {
-        way.doubled = baseline.doubled;
+        link.doubled = baseline.doubled;
     }
     if how.late.0 > 0 {
-        way.late = baseline.late;
+        link.late = baseline.late;
     }
-    way.pace = way.pace.filter(|_| how.bytes_per_s.is_none());
+    link.pace = link.pace.filter(|_| how.bytes_per_s.is_none());
 }
 
-/// The stewards named, or some that are drawn from the day's seed.
-fn draw_stewards(fleet: &Fleet, which: &[usize], count: usize) -> Vec<usize> {
+/// Returns the stewards named, or else picks some at random from the day's seed.
+fn pick_stewards(fleet: &Fleet, which: &[usize], count: usize) -> Vec<usize> {
     if !which.is_empty() {
         return which.iter().copied().filter(|&number| number < fleet.stewards.len()).collect();
     }
     let mut all: Vec<usize> = (0..fleet.stewards.len()).collect();
-    fleet.chance.borrow_mut().shuffle(&mut all);
+    fleet.rng.borrow_mut().shuffle(&mut all);
     all.truncate(count);
     all
 }
 
-fn draw_forwarders(fleet: &Fleet, count: usize) -> Vec<usize> {
+/// Picks forwarders at random from the day's seed.
+fn pick_forwarders(fleet: &Fleet, count: usize) -> Vec<usize> {
     let mut all: Vec<usize> = (0..fleet.day.forwarders.count).collect();
-    fleet.chance.borrow_mut().shuffle(&mut all);
+    fleet.rng.borrow_mut().shuffle(&mut all);
     all.truncate(count);
     all
 }
 
-/// A server that was listed as draining takes nothing new after its stay, and goes when it has finished.
-async fn leave(fleet: &Fleet, server: &Rc<Server>, stay: Span) {
+/// Stops a server that was listed as draining after its stay, and removes it from the list.
+async fn retire(fleet: &Fleet, server: &Rc<Server>, stay: Span) {
     sleep(duration(stay.0)).await;
     server.drain();
     server.die();
     sleep(duration(fleet.day.notice.0)).await;
-    fleet.listing.drop(server);
+    fleet.listing.remove(server);
 }
 
+/// Starts another server, cold, and lists it.
 async fn start_cold(fleet: &Fleet) -> io::Result<()> {
     let server = fleet.new_server().await?;
     server.come_up();
@@ -444,14 +452,15 @@
     Ok(())
 }
 
-async fn down_and_back(fleet: &Rc<Fleet>, servers: Vec<Rc<Server>>, back_after: Span) -> io::Result<()> {
+/// Kills servers and starts them again, cold; the list follows with the day's notice.
+async fn kill_and_revive(fleet: &Rc<Fleet>, servers: Vec<Rc<Server>>, back_after: Span) -> io::Result<()> {
     servers.iter().for_each(|server| server.die());
     let notice = fleet.day.notice;
-    let told = {
+    let unlisting = {
         let (fleet, servers) = (fleet.clone(), servers.clone());
         tokio::task::spawn_local(async move {
             sleep(duration(notice.0)).await;
-            servers.iter().filter(|server| !server.is_up()).for_each(|server| fleet.listing.drop(server));
+            servers.iter().filter(|server| !server.is_up()).for_each(|server| fleet.listing.remove(server));
         })
     };
     sleep(duration(back_after.0)).await;
@@ -459,17 +468,18 @@
         server.revive()?;
     }
     sleep(duration(notice.0)).await;
-    told.await.map_err(io::Error::other)?;
+    unlisting.await.map_err(io::Error::other)?;
     servers.iter().filter(|server| server.is_up()).for_each(|server| fleet.listing.show(server, "ready"));
     Ok(())
 }
 
-async fn ail(fleet: &Fleet, count: usize, lasts: Span, set: impl Fn(&mut Ills)) {
-    let servers = draw(fleet, count);
+/// Makes servers misbehave for a time.
+async fn degrade_servers(fleet: &Fleet, count: usize, lasts: Span, configure: impl Fn(&mut Ills)) {
+    let servers = pick_servers(fleet, count);
     for server in &servers {
-        let mut ills = Ills::default();
-        set(&mut ills);
-        server.set_ills(ills);
+        let mut faults = Ills::default();
+        configure(&mut faults);
+        server.set_ills(faults);
     }
     sleep(duration(lasts.0)).await;
     servers.iter().for_each(|server| server.set_ills(Ills::default()));
--- a/crates/lab/src/listing.rs
+++ b/crates/lab/src/listing.rs
@@ -1,4 +1,4 @@
-//! The server list that the lab publishes, and the ways in which it lies.
+//! The server list that the lab publishes, and the faults of that list.
 
 use std::cell::RefCell;
 use std::path::PathBuf;
@@ -7,20 +7,24 @@
 use ravenspar_standin::server::Server;
 use ravenspar_standin::{Capture, Event, Time, SECOND};
 
+/// A listed server, with its state and boot time as published.
 struct Entry {
     server: Rc<Server>,
     state: &'static str,
     boot: Time,
-    /// How many troubles hide it.
+    /// Number of active faults that hide it.
     hidden: usize,
 }
 
 struct Inner {
     entries: Vec<Entry>,
+    /// Nonzero while the list is published without entries.
     empty: usize,
+    /// Nonzero while the file is truncated.
     torn: usize,
 }
 
+/// The list of servers, published to a file.
 pub struct Listing {
     path: PathBuf,
     capture: Capture,
@@ -32,7 +36,7 @@
         Listing { path, capture, inner: RefCell::new(Inner { entries: Vec::new(), empty: 0, torn: 0 }) }
     }
 
-    /// Lists a server as it is now.
+    /// Lists a server in this state, with its current boot time.
     pub fn show(&self, server: &Rc<Server>, state: &'static str) {
         {
             let entries = &mut self.inner.borrow_mut().entries;
@@ -45,12 +49,13 @@
         self.publish();
     }
 
-    /// Takes a server off the list.
-    pub fn drop(&self, server: &Server) {
+    /// Removes a server from the list.
+    pub fn remove(&self, server: &Server) {
         self.inner.borrow_mut().entries.retain(|entry| entry.server.id != server.id);
         self.publish();
     }
 
+    /// Hides servers from the list, or undoes one hiding of them.
     pub fn hide(&self, servers: &[Rc<Server>], hidden: bool) {
         for entry in &mut self.inner.borrow_mut().entries {
             if servers.iter().any(|server| server.id == entry.server.id) {
@@ -70,20 +75,20 @@
         self.publish();
     }
 
-    /// Replaces the file, or, where it is torn, writes half of it in place.
+    /// Replaces the file atomically, or writes a truncated one in place while it is torn.
     pub fn publish(&self) {
         let inner = self.inner.borrow();
-        let shown = inner.entries.iter().filter(|entry| entry.hidden == 0 && inner.empty == 0);
+        let listed = inner.entries.iter().filter(|entry| entry.hidden == 0 && inner.empty == 0);
         let mut text = "servers:\n".to_owned();
         let mut servers = Vec::new();
-        for Entry { server, state, boot, .. } in shown {
+        for Entry { server, state, boot, .. } in listed {
             let seconds = *boot as f64 / SECOND as f64;
             let (id, zone, address) = (&server.id, &server.zone, server.address);
             text += &format!("  - {{id: {id}, zone: {zone}, address: \"{address}\", state: {state}, boot: {seconds:.4}}}\n");
             servers.push((id.clone(), (*state).to_owned(), *boot));
         }
         if inner.torn > 0 {
-            // Cut within a line, so that it can't pass for a shorter list.
+            // Truncated within a line, so that it isn't a valid shorter list.
             let _ = std::fs::write(&self.path, &text[..text.len().saturating_sub(30)]);
             return;
         }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,6 +1,7 @@
-//! `ravenspar-lab`: plays scripted days on loopback and judges what crossed the sockets.
+//! `ravenspar-lab`: plays scripted days with real processes on loopback, and judges them by what crossed the sockets.
 
 mod day;
+mod faults;
 mod fleet;
 mod judge;
 mod listing;
@@ -8,10 +9,9 @@
 mod measure_sharing;
 mod play;
 mod processes;
+mod random_faults;
 mod soak;
 mod stage;
-mod troubles;
-mod vex;
 mod ways;
 mod work;
 
@@ -43,10 +43,10 @@
     /// Plays a day and judges it. Exit codes: 0 all rules kept, 1 broken or it could not be played, 2 bad input.
     Day {
         file: PathBuf,
-        /// Keep the capture and the logs in this folder, which is made.
+        /// Keep the capture and the logs in this folder, which is created.
         #[arg(long, value_name = "DIR")]
         keep: Option<PathBuf>,
-        /// Play with another seed than the file's.
+        /// Use this seed instead of the file's.
         #[arg(long)]
         seed: Option<u64>,
     },
@@ -60,11 +60,11 @@
         slices: usize,
         #[arg(long, default_value_t = 260)]
         servers: usize,
-        /// Measure hand-overs alone.
+        /// Measure only hand-overs.
         #[arg(long)]
         hand_overs: bool,
     },
-    /// Measures stewards that share a store: take-overs, planned hand-overs, moves, store requests.
+    /// Measures stewards that share a store: take-overs, planned hand-overs, moved slices, store requests.
     MeasureSharing {
         #[arg(long, value_delimiter = ',', default_values_t = [3, 5, 9])]
         stewards: Vec<usize>,
@@ -73,33 +73,33 @@
         #[arg(long, default_value_t = 3)]
         rounds: usize,
     },
-    /// Measures the view that stewards keep among themselves: crashes, joins, heals, and what it costs at rest.
+    /// Measures the stewards' view of the fleet: crashes, joins, healed splits, and its cost when idle.
     MeasureView {
         #[arg(long, value_delimiter = ',', default_values_t = [3, 5, 9, 25])]
         stewards: Vec<usize>,
         #[arg(long, default_value_t = 20)]
         rounds: usize,
     },
-    /// Measures duties and jobs: time without an owner, from a site's loss to its jobs elsewhere, jobs through the store, and
-    /// what it costs at rest.
+    /// Measures duties and jobs: time without a leader, time from the loss of a site until its jobs run elsewhere, throughput
+    /// of jobs, and the cost when idle.
     MeasureWork {
         #[arg(long, value_delimiter = ',', default_values_t = [3, 5, 9])]
         stewards: Vec<usize>,
         #[arg(long, default_value_t = 10)]
         rounds: usize,
     },
-    /// Plays a day again and again with one seed after the other. Exit code 1 if one of them broke a rule.
+    /// Plays a day repeatedly, each time with the next seed. Exit code 1 if a day broke a rule.
     Soak {
         #[arg(long)]
         minutes: f64,
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Days played beside each other.
+        /// Days played concurrently.
         #[arg(long, default_value_t = 1)]
         at_once: usize,
         #[arg(long, default_value = "examples/days/stewards-killed.yaml")]
         file: PathBuf,
-        /// Where captures of days that broke a rule are left.
+        /// Folder for the captures of days that broke a rule.
         #[arg(long, value_name = "DIR", default_value = "target/soak")]
         keep: PathBuf,
     },
@@ -117,6 +117,7 @@
     Forwarder(ForwarderArgs),
 }
 
+// Options of `ravenspar_standin::agent`.
 #[derive(clap::Args)]
 struct AgentArgs {
     #[arg(long)]
@@ -145,6 +146,7 @@
     lies: u64,
 }
 
+// Options of `ravenspar_standin::forwarder`.
 #[derive(clap::Args)]
 struct ForwarderArgs {
     #[arg(long)]
@@ -180,10 +182,10 @@
                 measure(&forwarders, slices, servers, hand_overs)
             }
             Command::MeasureSharing { stewards, slices, rounds } => {
-                let known = stewards.iter().all(|count| (2..=64).contains(count))
+                let is_valid = stewards.iter().all(|count| (2..=64).contains(count))
                     && slices.iter().all(|count| (1..=65_535).contains(count))
                     && rounds > 0;
-                match known {
+                match is_valid {
                     true => block_on(measure_sharing::sharing(&stewards, &slices, rounds))
                         .and_then(|measured| measured.map(|()| true)),
                     false => Err(Fault::Input(
@@ -193,8 +195,8 @@
                 }
             }
             Command::MeasureView { stewards, rounds } => {
-                let known = stewards.iter().all(|count| (2..=25).contains(count)) && rounds > 0;
-                match known {
+                let is_valid = stewards.iter().all(|count| (2..=25).contains(count)) && rounds > 0;
+                match is_valid {
                     true => block_on(fleet::measure(&stewards, rounds))
                         .and_then(|measured| measured.map(|()| true)),
                     false => Err(Fault::Input(
@@ -203,8 +205,8 @@
                 }
             }
             Command::MeasureWork { stewards, rounds } => {
-                let known = stewards.iter().all(|count| (2..=9).contains(count)) && rounds > 0;
-                match known {
+                let is_valid = stewards.iter().all(|count| (2..=9).contains(count)) && rounds > 0;
+                match is_valid {
                     true => block_on(work::measure(&stewards, rounds))
                         .and_then(|measured| measured.map(|()| true)),
                     false => Err(Fault::Input(
@@ -224,23 +226,24 @@
     match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
-        Err(Fault::Input(why)) => {
-            eprintln!("{why}");
+        Err(Fault::Input(message)) => {
+            eprintln!("{message}");
             ExitCode::from(2)
         }
-        Err(Fault::Failed(why)) => {
-            eprintln!("{why}");
+        Err(Fault::Failed(message)) => {
+            eprintln!("{message}");
             ExitCode::FAILURE
         }
     }
 }
 
-/// Runs on one thread; what is spawned locally runs with it.
+/// Runs a future, and the tasks that it spawns locally, on this thread.
 fn block_on<T>(future: impl std::future::Future<Output = T>) -> Result<T, Fault> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     Ok(tokio::task::LocalSet::new().block_on(&runtime, future))
 }
 
+/// Plays a day of any kind and judges it. Returns true if it kept all rules.
 fn run_day(file: &Path, keep: Option<PathBuf>, seed: Option<u64>) -> Result<bool, Fault> {
     if fleet::FleetDay::is_one(file) {
         let mut day = fleet::FleetDay::load(file).map_err(Fault::Input)?;
@@ -270,29 +273,30 @@
     })
 }
 
-/// Hands over an empty folder: the one to keep, or one that is gone afterwards.
+/// Runs `play` in an empty folder: the one to keep, or else a temporary one.
 fn in_folder(keep: Option<PathBuf>, play: impl FnOnce(&Path) -> Result<bool, Fault>) -> Result<bool, Fault> {
-    let own;
+    let temp;
     let dir = match &keep {
         Some(dir) => {
             std::fs::create_dir_all(dir)?;
-            let taken = std::fs::read_dir(dir)?.next().is_some();
-            if taken {
+            let is_used = std::fs::read_dir(dir)?.next().is_some();
+            if is_used {
                 return Err(Fault::Input(format!("{}: expected an empty folder", dir.display())));
             }
             dir.as_path()
         }
         None => {
-            own = tempfile::tempdir()?;
-            own.path()
+            temp = tempfile::tempdir()?;
+            temp.path()
         }
     };
     play(dir)
 }
 
 fn measure(forwarders: &[usize], slices: usize, servers: usize, hand_overs: bool) -> Result<bool, Fault> {
-    let known = |&count: &usize| (1..=10_000).contains(&count);
-    if !forwarders.iter().all(known) || !(1..=65_535).contains(&slices) || !(9..=10_000).contains(&servers) {
+    let is_valid = |&count: &usize| (1..=10_000).contains(&count);
+    if !forwarders.iter().all(is_valid) || !(1..=65_535).contains(&slices) || !(9..=10_000).contains(&servers)
+    {
         return Err(Fault::Input(
             "measure: expected 1 to 10000 forwarders, 1 to 65535 slices, 9 to 10000 servers".to_owned(),
         ));
@@ -309,8 +313,8 @@
 }
 
 fn run_soak(file: &Path, minutes: f64, seed: u64, at_once: usize, keep: &Path) -> Result<bool, Fault> {
-    let plays = minutes > 0.0 && minutes <= 1e4 && (1..=64).contains(&at_once);
-    if !plays {
+    let is_valid = minutes > 0.0 && minutes <= 1e4 && (1..=64).contains(&at_once);
+    if !is_valid {
         return Err(Fault::Input("soak: expected more than 0 minutes, and 1 to 64 days at once".to_owned()));
     }
     match (fleet::FleetDay::is_one(file), work::WorkDay::is_one(file)) {
@@ -321,8 +325,9 @@
     block_on(soak::soak(file, minutes, seed, at_once, keep))?
 }
 
+/// Judges the capture in a folder and prints the report. Returns true if it kept all rules.
 fn judge_dir(dir: &Path) -> Result<bool, Fault> {
-    let (_, rules) = stage::rules(dir).map_err(Fault::Input)?;
+    let (_, rules) = stage::load_rules(dir).map_err(Fault::Input)?;
     let path = dir.join("capture.jsonl");
     let events = ravenspar_standin::capture::read(&path);
     let events = events.map_err(|e| Fault::Input(format!("{}: {e}", path.display())))?;
@@ -346,7 +351,7 @@
         pause_at: args.pause_at,
         lies: args.lies,
     };
-    // It listens nowhere: it says so that whoever starts it knows that it runs.
+    // An agent doesn't listen. `Process::start` waits for this line to know that it runs.
     print_line("listening on 127.0.0.1:0");
     block_on(ravenspar_standin::agent::run(options))??;
     Ok(true)
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -1,4 +1,4 @@
-//! Plays a day: starts the fleet, waits until every slice has an owner, lets clients and troubles loose.
+//! Plays a day: starts the fleet, waits until every slice is served, then runs the clients and injects the faults.
 
 use std::io;
 use std::path::Path;
@@ -8,12 +8,12 @@
 use tokio::task::spawn_local;
 
 use crate::day::Day;
-use crate::processes::ENDING;
-use crate::stage::{settle, Fault, Fleet};
+use crate::processes::SHUTDOWN_TIMEOUT;
+use crate::stage::{write_settings, Fault, Fleet};
 
-/// Plays a day in this folder; its capture is there afterwards.
+/// Plays a day in `dir`, and leaves its capture there.
 pub async fn play(day: Day, file: &Path, dir: &Path) -> Result<(), Fault> {
-    let (checked, rules) = settle(&day, file, dir)?;
+    let (checked, rules) = write_settings(&day, file, dir)?;
     print_line(format_args!("day {}: {}", file.display(), day.about));
     print_line(format_args!(
         "seed {}; {} servers, {} forwarders, {} slices",
@@ -24,25 +24,25 @@
     print_line("every slice is served; clients begin");
     fleet.capture.note(|at| Event::Began { at });
     let began = fleet.capture.now();
-    let mut troubles = Vec::new();
-    for trouble in fleet.day.troubles.clone() {
+    let mut injected = Vec::new();
+    for fault in fleet.day.faults.clone() {
         let fleet = fleet.clone();
-        troubles.push(spawn_local(async move {
-            tokio::time::sleep(duration(began + trouble.at.0 - fleet.capture.now())).await;
-            crate::troubles::cause(&fleet, &trouble.what, began).await
+        injected.push(spawn_local(async move {
+            tokio::time::sleep(duration(began + fault.at.0 - fleet.capture.now())).await;
+            crate::faults::inject(&fleet, &fault.what, began).await
         }));
     }
-    if let Some(stops) = fleet.day.forwarders.stops.clone() {
-        spawn_local(crate::troubles::continue_stopped(fleet.clone(), stops));
+    if let Some(pause) = fleet.day.forwarders.pause.clone() {
+        spawn_local(crate::faults::continue_forwarder(fleet.clone(), pause));
     }
     for pause in fleet.day.pauses.clone() {
-        spawn_local(crate::troubles::continue_paused(fleet.clone(), pause));
+        spawn_local(crate::faults::continue_steward(fleet.clone(), pause));
     }
     fleet.clients.arrive(began + fleet.day.length.0).await;
-    for trouble in troubles {
-        // A trouble that outlasts the clients still ends: what it leaves behind is judged too.
-        if let Err(why) = trouble.await.map_err(io::Error::other).and_then(|caused| caused) {
-            return Err(Fault::Failed(format!("a trouble could not be caused: {why}")));
+    for task in injected {
+        // Faults that outlast the clients are awaited too, so that their effects are judged.
+        if let Err(why) = task.await.map_err(io::Error::other).and_then(|result| result) {
+            return Err(Fault::Failed(format!("a fault could not be injected: {why}")));
         }
     }
     while fleet.clients.open() > 0 {
@@ -56,22 +56,22 @@
         print_line(format_args!("the store was asked {} times", store.requests()));
     }
     fleet.capture.finish()?;
-    let ended = codes.iter().enumerate().filter_map(|(number, code)| not_in_order(number, *code));
-    let ended: Vec<String> = ended.collect();
-    match ended.is_empty() {
+    let errors = codes.iter().enumerate().filter_map(|(number, code)| abnormal_end(number, *code));
+    let errors: Vec<String> = errors.collect();
+    match errors.is_empty() {
         true => Ok(()),
-        false => Err(Fault::Failed(format!("{}, see their logs", ended.join("; ")))),
+        false => Err(Fault::Failed(format!("{}, see their logs", errors.join("; ")))),
     }
 }
 
-/// What is wrong with how a steward ended, if anything is.
-fn not_in_order(number: usize, code: Option<i32>) -> Option<String> {
+/// Describes how a steward ended, unless it shut down in order.
+fn abnormal_end(number: usize, code: Option<i32>) -> Option<String> {
     match code {
         Some(0) => None,
         Some(code) => Some(format!("steward {number} ended with exit code {code}")),
         None => Some(format!(
-            "steward {number} was killed or died by a signal: it is killed where it has not ended {} s after it was asked to",
-            ENDING.as_secs()
+            "steward {number} died by a signal, or was killed because it had not shut down within {} s",
+            SHUTDOWN_TIMEOUT.as_secs()
         )),
     }
 }
--- a/crates/lab/src/stage.rs
+++ b/crates/lab/src/stage.rs
@@ -1,4 +1,4 @@
-//! The stage of a day: all processes, servers, clients, and the ways between them.
+//! The environment of a day: all processes, servers and clients, and the links between them.
 
 use std::cell::{Cell, RefCell};
 use std::ffi::OsString;
@@ -21,9 +21,11 @@
 use crate::processes::Process;
 use crate::ways::{make_key, Datagrams, End, Seen, Streams, Way, Ways};
 
-/// Why a day could not be played, and whether that is bad input.
+/// Why a command failed.
 pub enum Fault {
+    /// The input is invalid; exit code 2.
     Input(String),
+    /// The day could not be played or measured.
     Failed(String),
 }
 
@@ -33,29 +35,31 @@
     }
 }
 
+/// All that takes part in a day.
 pub struct Fleet {
     pub day: Day,
     pub dir: PathBuf,
     pub capture: Capture,
     pub servers: RefCell<Vec<Rc<Server>>>,
     pub listing: Listing,
-    pub ways: Rc<Ways>,
-    /// Of forwarders to stewards, by forwarder and steward.
+    pub links: Rc<Ways>,
+    /// Streams of forwarders to stewards, by forwarder and steward.
     pub relays: Vec<Vec<Rc<Streams>>>,
     pub forwarders: Vec<tokio::sync::Mutex<Option<Process>>>,
     pub stewards: Vec<tokio::sync::Mutex<Option<Process>>>,
     pub store: Option<Store>,
-    /// Where the stewards keep a view among themselves.
+    /// `None` unless the stewards keep a view of the fleet.
     datagrams: Option<Rc<Datagrams>>,
-    /// Each steward's streams to the store.
-    pipes: Vec<Rc<Streams>>,
+    /// Streams of each steward to the store.
+    store_links: Vec<Rc<Streams>>,
     pub clients: Rc<Clients>,
-    pub chance: RefCell<fastrand::Rng>,
-    targets: Vec<Rc<Cell<Option<std::net::SocketAddr>>>>,
+    pub rng: RefCell<fastrand::Rng>,
+    /// Where each steward listens now.
+    steward_addresses: Vec<Rc<Cell<Option<std::net::SocketAddr>>>>,
 }
 
-/// Writes the steward's settings into the folder and reads them as the steward will.
-pub fn settle(day: &Day, file: &Path, dir: &Path) -> Result<(settings::Checked, Rules), Fault> {
+/// Writes the steward's settings into `dir`, then loads them as the steward will.
+pub fn write_settings(day: &Day, file: &Path, dir: &Path) -> Result<(settings::Checked, Rules), Fault> {
     let mut cfg = day.steward.clone();
     let Some(map) = cfg.as_object_mut() else {
         return Err(Fault::Input(format!("{}:1:1: steward: expected a map of settings", file.display())));
@@ -67,53 +71,54 @@
     map.insert("seed".to_owned(), day.seed.into());
     if map.get("store").is_some_and(|store| store == "etcd") {
         let share = map.entry("share").or_insert_with(|| serde_json::json!({}));
-        // Each steward gets its own way to the store when it is started.
+        // A placeholder: each steward gets the address of its own link to the store when it is started.
         share["endpoints"] = serde_json::json!(["http://127.0.0.1:1"]);
     }
     let path = dir.join("steward.yaml");
     // JSON is YAML.
     std::fs::write(&path, serde_json::to_string_pretty(&cfg).map_err(|e| Fault::Failed(e.to_string()))?)?;
-    rules(dir).map_err(|what| Fault::Input(format!("{}: steward: {what}", file.display())))
+    load_rules(dir).map_err(|what| Fault::Input(format!("{}: steward: {what}", file.display())))
 }
 
-/// The settings and rules of a kept day.
-pub fn rules(dir: &Path) -> Result<(settings::Checked, Rules), String> {
-    let cfg = settings::load(&dir.join("steward.yaml")).map_err(|faults| faults.to_string())?;
-    let rules = Rules::new(&cfg.map).ok_or("the settings lack a figure of the rules")?;
+/// Loads the settings of a day from its folder, and the judge's rules from them.
+pub fn load_rules(dir: &Path) -> Result<(settings::Checked, Rules), String> {
+    let cfg = settings::load(&dir.join("steward.yaml")).map_err(|errors| errors.to_string())?;
+    let rules = Rules::new(&cfg.map).ok_or("the settings lack a value that the rules need")?;
     Ok((cfg, rules))
 }
 
 impl Fleet {
+    /// Starts all processes of a day; the servers are listed as ready.
     pub async fn start(day: Day, dir: &Path, rules: &Rules) -> Result<Rc<Fleet>, Fault> {
         let clock = Clock::default();
         let capture = Capture::create(&dir.join("capture.jsonl"), clock)?;
-        let targets: Vec<_> = (0..day.stewards()).map(|_| Rc::new(Cell::new(None))).collect();
+        let steward_addresses: Vec<_> = (0..day.stewards()).map(|_| Rc::new(Cell::new(None))).collect();
         let baseline = Way {
             loss: day.datagrams.lost,
             doubled: day.datagrams.doubled,
             late: duration(day.datagrams.late.0),
             ..Way::default()
         };
-        let ways = Ways::new(day.seed, baseline);
+        let links = Ways::new(day.seed, baseline);
         let mut relays = Vec::new();
         for forwarder in 0..day.forwarders.count {
             let mut own = Vec::new();
-            for (steward, target) in targets.iter().enumerate() {
+            for (steward, target) in steward_addresses.iter().enumerate() {
                 let ends = (End::Forwarder(forwarder), End::Steward(steward));
-                let watch = captured(&capture, steward);
-                own.push(Streams::listen(&ways, ends, target.clone(), || codec(MOST_DOWN), watch).await?);
+                let watch = frame_recorder(&capture, steward);
+                own.push(Streams::listen(&links, ends, target.clone(), || codec(MOST_DOWN), watch).await?);
             }
             relays.push(own);
         }
         let shared = day.steward.get("store").is_some_and(|store| store == "etcd");
         let store = shared.then(|| Store::new(day.seed | 1));
-        let mut pipes = Vec::new();
+        let mut store_links = Vec::new();
         if let Some(store) = &store {
             let address = Rc::new(Cell::new(Some(store.listen().await?)));
-            for steward in 0..targets.len() {
+            for steward in 0..steward_addresses.len() {
                 let ends = (End::Steward(steward), End::Store);
-                pipes.push(
-                    Streams::listen(&ways, ends, address.clone(), BytesCodec::new, Rc::new(|_, _| ()))
+                store_links.push(
+                    Streams::listen(&links, ends, address.clone(), BytesCodec::new, Rc::new(|_, _| ()))
                         .await?,
                 );
             }
@@ -121,7 +126,7 @@
         let mut datagrams = None;
         if day.view && store.is_some() {
             make_key(dir)?;
-            datagrams = Some(Datagrams::open(&ways, targets.len(), false).await?);
+            datagrams = Some(Datagrams::open(&links, steward_addresses.len(), false).await?);
         }
         let timeout = |k: usize| {
             let kinds = day.steward.get("kinds").and_then(|kinds| kinds.get(k));
@@ -151,20 +156,20 @@
         let listing = Listing::new(dir.join("servers.yaml"), capture.clone());
         let fleet = Rc::new(Fleet {
             forwarders: (0..day.forwarders.count).map(|_| tokio::sync::Mutex::new(None)).collect(),
-            chance: RefCell::new(fastrand::Rng::with_seed(day.seed)),
+            rng: RefCell::new(fastrand::Rng::with_seed(day.seed)),
             day,
             dir: dir.to_owned(),
             capture,
             servers: RefCell::default(),
             listing,
             relays,
-            stewards: targets.iter().map(|_| tokio::sync::Mutex::new(None)).collect(),
+            stewards: steward_addresses.iter().map(|_| tokio::sync::Mutex::new(None)).collect(),
             store,
-            ways,
+            links,
             datagrams,
-            pipes,
+            store_links,
             clients,
-            targets,
+            steward_addresses,
         });
         for _ in 0..fleet.day.servers.count {
             let server = fleet.new_server().await?;
@@ -179,13 +184,13 @@
         Ok(fleet)
     }
 
-    /// The next server, up and warm.
+    /// Starts another server, warm and not listed yet.
     pub async fn new_server(&self) -> io::Result<Rc<Server>> {
-        let place = self.servers.borrow().len();
+        let index = self.servers.borrow().len();
         let (servers, zones) = (&self.day.servers, &self.day.servers.zones);
         let model = Model {
             cores: servers.cores,
-            speed: servers.speeds[place % servers.speeds.len()],
+            speed: servers.speeds[index % servers.speeds.len()],
             queue: servers.queue,
             connections: servers.connections,
             cold_from: servers.cold_from,
@@ -193,37 +198,39 @@
             fall_multiple: servers.fall_multiple,
             fall_for: servers.fall_for.0,
         };
-        let zone = &zones[place % zones.len()];
-        let seed = self.day.seed.wrapping_mul(31).wrapping_add(place as u64);
-        let server = Server::start(&format!("plan-{place}"), zone, model, seed, self.capture.clone()).await?;
+        let zone = &zones[index % zones.len()];
+        let seed = self.day.seed.wrapping_mul(31).wrapping_add(index as u64);
+        let server = Server::start(&format!("plan-{index}"), zone, model, seed, self.capture.clone()).await?;
         self.servers.borrow_mut().push(server.clone());
         Ok(server)
     }
 
+    /// Starts a steward and routes its forwarders to it.
     pub async fn start_steward(&self, number: usize) -> io::Result<()> {
-        let mut place = self.stewards[number].lock().await;
+        let mut slot = self.stewards[number].lock().await;
         let name = if self.stewards.len() > 1 { format!("steward-{number}") } else { "steward".to_owned() };
-        // At its first start alone: a pause is met once.
+        // A pause applies to the first start only.
         let first = !self.dir.join(format!("{name}.log")).exists();
         let process = match &self.datagrams {
             Some(datagrams) => {
-                datagrams.started(number, async || self.try_steward(number, &name, first).await).await?
+                datagrams.started(number, async || self.spawn_steward(number, &name, first).await).await?
             }
-            None => self.try_steward(number, &name, first).await?,
+            None => self.spawn_steward(number, &name, first).await?,
         };
-        self.targets[number].set(Some(process.address));
-        *place = Some(process);
-        self.note_steward(number, "started");
+        self.steward_addresses[number].set(Some(process.address));
+        *slot = Some(process);
+        self.record_steward_state(number, "started");
         Ok(())
     }
 
-    async fn try_steward(&self, number: usize, name: &str, first: bool) -> io::Result<Process> {
-        if let Some(pipe) = self.pipes.get(number) {
+    /// Writes the steward's own settings, if it has a link to the store, and starts its process.
+    async fn spawn_steward(&self, number: usize, name: &str, first: bool) -> io::Result<Process> {
+        if let Some(link) = self.store_links.get(number) {
             let text = std::fs::read_to_string(self.dir.join("steward.yaml"))?;
             let mut cfg: serde_json::Value = serde_json::from_str(&text)?;
             cfg["record"] = format!("{name}.redb").into();
             cfg["share"]["name"] = name.into();
-            cfg["share"]["endpoints"] = serde_json::json!([format!("http://{}", pipe.address)]);
+            cfg["share"]["endpoints"] = serde_json::json!([format!("http://{}", link.address)]);
             if let Some(datagrams) = &self.datagrams {
                 cfg["fleet"] = datagrams.settings(number);
             }
@@ -239,32 +246,35 @@
         Process::start(args, &self.dir.join(format!("{name}.log"))).await
     }
 
-    pub fn note_steward(&self, number: usize, state: &str) {
+    /// Notes a change of a steward's state in the capture.
+    pub fn record_steward_state(&self, number: usize, state: &str) {
         self.capture.note(|at| Event::Steward { at, number, state: state.to_owned() });
     }
 
+    /// Kills a steward; forwarders can't reach it until it is started again.
     pub async fn kill_steward(&self, number: usize) {
-        self.targets[number].set(None);
+        self.steward_addresses[number].set(None);
         if let Some(mut process) = self.stewards[number].lock().await.take() {
             process.kill().await;
         }
-        self.note_steward(number, "killed");
+        self.record_steward_state(number, "killed");
     }
 
-    /// Asks a steward to end in order, and waits for it.
+    /// Shuts a steward down in order and returns its exit code, as [`Process::end`] does.
     pub async fn end_steward(&self, number: usize) -> Option<i32> {
         let process = self.stewards[number].lock().await.take();
         let code = match process {
             Some(mut process) => process.end().await,
             None => Some(0),
         };
-        self.targets[number].set(None);
-        self.note_steward(number, "ended");
+        self.steward_addresses[number].set(None);
+        self.record_steward_state(number, "ended");
         code
     }
 
+    /// Starts a forwarder, with the faults that the day gives it.
     pub async fn start_forwarder(&self, number: usize) -> io::Result<()> {
-        let mut place = self.forwarders[number].lock().await;
+        let mut slot = self.forwarders[number].lock().await;
         let day = &self.day;
         let zones = &day.servers.zones;
         let baseline = day.clients.rate / day.forwarders.count as f64;
@@ -285,17 +295,18 @@
         if day.forwarders.liars.contains(&number) {
             args.push("--lies".to_owned());
         }
-        if let Some(stops) = day.forwarders.stops.as_ref().filter(|stops| stops.forwarder == number) {
-            args.push(format!("--stop-at={}", stops.write));
+        if let Some(pause) = day.forwarders.pause.as_ref().filter(|pause| pause.forwarder == number) {
+            args.push(format!("--stop-at={}", pause.write));
         }
         let args = args.into_iter().map(OsString::from).collect();
         let process = Process::start(args, &self.dir.join(format!("forwarder-{number}.log"))).await?;
         self.clients.forwarder_at(number, process.address);
-        *place = Some(process);
+        *slot = Some(process);
         self.capture.note(|at| Event::Forwarder { at, number: number as u64, state: "started".to_owned() });
         Ok(())
     }
 
+    /// Kills a forwarder.
     pub async fn kill_forwarder(&self, number: usize) {
         if let Some(mut process) = self.forwarders[number].lock().await.take() {
             process.kill().await;
@@ -303,6 +314,7 @@
         self.capture.note(|at| Event::Forwarder { at, number: number as u64, state: "killed".to_owned() });
     }
 
+    /// Sends a signal to a forwarder and notes its new state in the capture.
     pub async fn signal_forwarder(&self, number: usize, signal: &str, state: &str) {
         if let Some(process) = self.forwarders[number].lock().await.as_ref() {
             process.signal(signal).await;
@@ -310,27 +322,29 @@
         self.capture.note(|at| Event::Forwarder { at, number: number as u64, state: state.to_owned() });
     }
 
+    /// Sends a signal to a steward and notes its new state in the capture.
     pub async fn signal_steward(&self, number: usize, signal: &str, state: &str) {
         if let Some(process) = self.stewards[number].lock().await.as_ref() {
             process.signal(signal).await;
         }
-        self.note_steward(number, state);
+        self.record_steward_state(number, state);
     }
 
-    /// Waits until forwarders answer a req for every slice, or says that they never did.
+    /// Waits until every forwarder serves a req for every slice. Fails after a time that allows for lease and settling, or if a
+    /// steward ends.
     pub async fn warm_up(&self, checked: &settings::Checked) -> Result<(), Fault> {
         let slices = checked.map.number("family_info.ranges").unwrap_or(0.0) as u64;
         let lease = checked.map.time("family_info.write_lease_s").unwrap_or(SECOND);
         let settle = checked.map.time("family_info.settle_s").unwrap_or(SECOND);
-        let most = self.capture.now() + 4 * (lease + settle) + 20 * SECOND;
+        let deadline = self.capture.now() + 4 * (lease + settle) + 20 * SECOND;
         let writing =
             checked.map.text("family_info.mutating").unwrap_or("").split(',').position(|flag| flag == "true");
         for slice in 0..slices {
-            for door in 0..self.day.forwarders.count {
-                while !self.clients.probe(door, slice, writing.unwrap_or(0)).await {
-                    if self.capture.now() > most {
+            for forwarder in 0..self.day.forwarders.count {
+                while !self.clients.probe(forwarder, slice, writing.unwrap_or(0)).await {
+                    if self.capture.now() > deadline {
                         return Err(Fault::Failed(format!(
-                            "slice {slice} was never served by forwarder {door}"
+                            "slice {slice} was never served by forwarder {forwarder}"
                         )));
                     }
                     for steward in &self.stewards {
@@ -346,8 +360,8 @@
     }
 }
 
-/// Writes down what crosses between a forwarder and a steward.
-fn captured(capture: &Capture, steward: usize) -> Rc<dyn Fn(u64, Seen)> {
+/// Returns an observer that notes in the capture what crosses between a forwarder and a steward.
+fn frame_recorder(capture: &Capture, steward: usize) -> Rc<dyn Fn(u64, Seen)> {
     let capture = capture.clone();
     Rc::new(move |stream, seen| match seen {
         Seen::Opened => capture.note(|at| Event::Opened { at, stream, steward }),
