--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -186,7 +186,7 @@
                     && slices.iter().all(|count| (1..=65_535).contains(count))
                     && rounds > 0;
                 match is_valid {
-                    true => block_on(measure_sharing::sharing(&stewards, &slices, rounds))
+                    true => block_on(measure_sharing::run_all(&stewards, &slices, rounds))
                         .and_then(|measured| measured.map(|()| true)),
                     false => Err(Fault::Input(
                         "measure-sharing: expected 2 to 64 stewards, 1 to 65535 slices, 1 round or more"
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -20,18 +20,20 @@
 use crate::processes::Process;
 use crate::stage::Fault;
 
-/// What a forwarder has received, and when.
+/// What a light forwarder has received, and when.
 #[derive(Default)]
 struct Received {
+    /// Servers by number.
     names: BTreeMap<u64, String>,
-    /// Owner and whether writes are open.
+    /// By slice: the owner, and whether it has full weight, so that writes are open.
     lines: BTreeMap<u64, (u64, bool)>,
+    /// Whether the initial table is complete.
     read: bool,
     echoes: u64,
     frames: u64,
-    /// The last frame with a drop, with a line, and with a line that opens writes.
+    /// Times of the last drop, of the first line, and of the last line that opens writes.
     dropped: Option<Instant>,
-    first_route: Option<Instant>,
+    first_line: Option<Instant>,
     opened: Option<Instant>,
 }
 
@@ -40,7 +42,7 @@
 type Frames =
     (FramedRead<OwnedReadHalf, LengthDelimitedCodec>, FramedWrite<OwnedWriteHalf, LengthDelimitedCodec>);
 
-/// Opens a stream as a forwarder of this number.
+/// Opens a stream to a steward as the forwarder with this number.
 pub async fn dial(address: std::net::SocketAddr, number: usize) -> std::io::Result<Frames> {
     let socket = TcpStream::connect(address).await?;
     socket.set_nodelay(true)?;
@@ -53,14 +55,14 @@
     Ok((read, write))
 }
 
-/// One light forwarder: reads, answers at once, pings. `handle` takes in a frame, with when the stream began, and returns
-/// the answer that is due.
-pub async fn forward(
+/// Runs the stream of a light forwarder, which reads, answers at once and pings. `handle` is called with the start of the
+/// stream and a frame, and returns the answer to send, if any.
+pub async fn run_stream(
     address: std::net::SocketAddr,
     number: usize,
     mut handle: impl FnMut(Instant, &[u8]) -> Result<Option<Bytes>, Unreadable>,
 ) -> std::io::Result<()> {
-    let broken = |fault: Unreadable| std::io::Error::other(fault.to_string());
+    let invalid = |error: Unreadable| std::io::Error::other(error.to_string());
     let (mut read, mut write) = dial(address, number).await?;
     let began = Instant::now();
     let mut ping = tokio::time::interval(Duration::from_millis(250));
@@ -68,7 +70,7 @@
         tokio::select! {
             body = read.next() => {
                 let Some(body) = body else { return Ok(()) };
-                let answer = handle(began, &body?).map_err(broken)?;
+                let answer = handle(began, &body?).map_err(invalid)?;
                 if let Some(answer) = answer {
                     write.send(answer).await?;
                 }
@@ -82,10 +84,11 @@
 }
 
 async fn forwarder(address: std::net::SocketAddr, number: usize, received: Shared) -> std::io::Result<()> {
-    forward(address, number, |_, body| take(&mut received.borrow_mut()[number], body)).await
+    run_stream(address, number, |_, body| handle_frame(&mut received.borrow_mut()[number], body)).await
 }
 
-fn take(received: &mut Received, body: &[u8]) -> Result<Option<Bytes>, Unreadable> {
+/// Applies a frame, and returns the answer if one was asked for.
+fn handle_frame(received: &mut Received, body: &[u8]) -> Result<Option<Bytes>, Unreadable> {
     let now = Instant::now();
     let mut body = Body::new(body)?;
     received.frames += 1;
@@ -98,10 +101,11 @@
                 received.names.insert(server, field.text()?.to_owned());
             }
             tag::LINE => {
-                let (slice, server, whole) = (field.number()?, field.number()?, field.fraction()? >= 1.0);
-                received.lines.insert(slice, (server, whole));
-                received.first_route = received.first_route.or(Some(now));
-                received.opened = if whole { Some(now) } else { received.opened };
+                let (slice, server, full_weight) =
+                    (field.number()?, field.number()?, field.fraction()? >= 1.0);
+                received.lines.insert(slice, (server, full_weight));
+                received.first_line = received.first_line.or(Some(now));
+                received.opened = if full_weight { Some(now) } else { received.opened };
             }
             tag::DROP => {
                 received.lines.remove(&field.number()?);
@@ -118,13 +122,15 @@
     Ok(asked.then(|| answer.finish()))
 }
 
-struct Rig {
+/// A steward with light forwarders, all of which have every slice open for writes.
+struct TestBed {
     dir: tempfile::TempDir,
     servers: usize,
     received: Shared,
     steward: Process,
 }
 
+/// The steward's settings.
 fn settings(slices: usize, forwarders: usize) -> String {
     format!(
         "listen: 127.0.0.1:0\nrecord: steward.redb\nlist: {{path: servers.yaml}}\nforwarders: {forwarders}\n\
@@ -137,7 +143,8 @@
     )
 }
 
-pub fn list(dir: &Path, servers: usize, draining: &[usize]) -> std::io::Result<()> {
+/// Publishes a list of servers, some of them draining, by replacing the file.
+pub fn write_server_list(dir: &Path, servers: usize, draining: &[usize]) -> std::io::Result<()> {
     let mut text = "servers:\n".to_owned();
     for n in 0..servers {
         let state = if draining.contains(&n) { "draining" } else { "ready" };
@@ -154,47 +161,50 @@
     Process::start(args, &dir.join("steward.log")).await
 }
 
-/// Lets time pass until something holds; fails when it never does.
-pub async fn wait(what: &str, mut holds: impl FnMut() -> bool) -> Result<(), Fault> {
-    const PATIENCE: Duration = Duration::from_secs(120);
+/// Waits until a condition holds. Fails after two minutes.
+pub async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) -> Result<(), Fault> {
+    const TIMEOUT: Duration = Duration::from_secs(120);
     let began = Instant::now();
     while !holds() {
-        if began.elapsed() > PATIENCE {
-            return Err(Fault::Failed(format!("not within {PATIENCE:?}: {what}")));
+        if began.elapsed() > TIMEOUT {
+            return Err(Fault::Failed(format!("not within {TIMEOUT:?}: {what}")));
         }
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
     Ok(())
 }
 
-impl Rig {
-    async fn start(slices: usize, servers: usize, forwarders: usize, level: &str) -> Result<Rig, Fault> {
+impl TestBed {
+    async fn start(slices: usize, servers: usize, forwarders: usize, level: &str) -> Result<TestBed, Fault> {
         let dir = tempfile::tempdir()?;
         std::fs::write(dir.path().join("steward.yaml"), settings(slices, forwarders))?;
-        list(dir.path(), servers, &[])?;
+        write_server_list(dir.path(), servers, &[])?;
         let steward = start_steward(dir.path(), level).await?;
         let received: Shared = Rc::default();
         received.borrow_mut().resize_with(forwarders, Received::default);
         for number in 0..forwarders {
             spawn_local(forwarder(steward.address, number, received.clone()));
         }
-        let rig = Rig { dir, servers, received, steward };
-        rig.settled(slices, &[]).await?;
-        Ok(rig)
+        let bed = TestBed { dir, servers, received, steward };
+        bed.wait_settled(slices, &[]).await?;
+        Ok(bed)
     }
 
-    /// Waits until every forwarder has every slice open for writes, and none at these servers.
-    async fn settled(&self, slices: usize, without: &[usize]) -> Result<(), Fault> {
-        let left: Vec<String> = without.iter().map(|n| format!("plan-{n}")).collect();
-        wait("every slice is open at every forwarder", || {
+    /// Waits until every forwarder has every slice open for writes, none of them at a server in `without`.
+    async fn wait_settled(&self, slices: usize, without: &[usize]) -> Result<(), Fault> {
+        let removed: Vec<String> = without.iter().map(|n| format!("plan-{n}")).collect();
+        wait_until("every slice is open at every forwarder", || {
             self.received.borrow().iter().all(|received| {
-                let good = |(server, whole): &(u64, bool)| *whole && !left.contains(&received.names[server]);
+                let good = |(server, full_weight): &(u64, bool)| {
+                    *full_weight && !removed.contains(&received.names[server])
+                };
                 received.lines.len() == slices && received.lines.values().all(good)
             })
         })
         .await
     }
 
+    /// Resident memory of the steward in MiB.
     fn memory(&self) -> f64 {
         let status =
             self.steward.id().and_then(|id| std::fs::read_to_string(format!("/proc/{id}/status")).ok());
@@ -203,16 +213,17 @@
         line.and_then(|line| line.trim().trim_end_matches(" kB").parse::<f64>().ok()).unwrap_or(0.0) / 1024.0
     }
 
+    /// Clears the times that forwarders have noted.
     fn clear(&self) {
         for received in self.received.borrow_mut().iter_mut() {
-            (received.dropped, received.first_route, received.opened) = (None, None, None);
+            (received.dropped, received.first_line, received.opened) = (None, None, None);
         }
     }
 }
 
-/// When the steward's log says that it came to the parts of the turn after a moment, in ms from then: the list read,
-/// the turn decided, its lines durable, its first and its last message handed to a socket.
-fn parts(log: &Path, began: std::time::SystemTime) -> std::io::Result<Option<[f64; 5]>> {
+/// Returns when the steward reached the phases of its first update after `began`, in ms from then, according to its log: list
+/// read, update decided, lines durable, first and last message passed to a socket. `None` if the log lacks one of them.
+fn update_phases(log: &Path, began: std::time::SystemTime) -> std::io::Result<Option<[f64; 5]>> {
     const DAY: f64 = 86_400.0;
     let since = began.duration_since(std::time::UNIX_EPOCH).map_or(0.0, |since| since.as_secs_f64() % DAY);
     let mut at = [None; 5];
@@ -226,7 +237,7 @@
             .fold(0.0, |sum, part| sum * 60.0 + part);
         let after = (seconds - since).rem_euclid(DAY) * 1000.0;
         if after > DAY * 500.0 {
-            continue; // before the moment
+            continue; // before `began`
         }
         let place = match entry["message"].as_str().unwrap_or("") {
             "the list has changed" => 0,
@@ -235,7 +246,7 @@
             "a message leaves" => 3,
             _ => continue,
         };
-        // Each part follows the one before; a second turn's lines end the first.
+        // The phases follow one another; the lines of a second update end the first.
         if place == 1 && at[1].is_some() {
             break;
         }
@@ -248,16 +259,16 @@
     Ok(Some([a, b, c, d, e]))
 }
 
-/// Median, 99th and worst, with so many digits.
+/// Formats the median, the 99th percentile and the maximum, with this many decimals.
 pub fn quantiles(of: Vec<f64>, digits: usize) -> String {
-    /// Parts of a unit that are told apart: the histogram counts whole numbers.
-    const PARTS: f64 = 1e4;
-    // Three digits are more than such measurements bear; it fails for more than five alone.
-    let Ok(mut all) = hdrhistogram::Histogram::<u64>::new(3) else { return String::new() };
-    // It grows as far as it has to.
-    of.iter().for_each(|value| _ = all.record((value.max(0.0) * PARTS).round() as u64));
-    let at = |q: f64| all.value_at_quantile(q) as f64 / PARTS;
-    format!("{:.digits$} / {:.digits$} / {:.digits$}", at(0.5), at(0.99), all.max() as f64 / PARTS)
+    /// Resolution of a unit: the histogram counts integers.
+    const RESOLUTION: f64 = 1e4;
+    // Three significant digits are enough for these measurements. `new` fails only for more than five.
+    let Ok(mut histogram) = hdrhistogram::Histogram::<u64>::new(3) else { return String::new() };
+    // The histogram resizes itself, so recording doesn't fail.
+    of.iter().for_each(|value| _ = histogram.record((value.max(0.0) * RESOLUTION).round() as u64));
+    let at = |q: f64| histogram.value_at_quantile(q) as f64 / RESOLUTION;
+    format!("{:.digits$} / {:.digits$} / {:.digits$}", at(0.5), at(0.99), histogram.max() as f64 / RESOLUTION)
 }
 
 fn median(column: &mut [f64]) -> f64 {
@@ -265,7 +276,7 @@
     column.get(column.len() / 2).copied().unwrap_or(f64::NAN)
 }
 
-/// Hand-overs after a drain of one server, by forwarders.
+/// Measures hand-overs after a drain of one server, for each count of forwarders.
 pub async fn hand_overs(slices: usize, servers: usize, forwarders: &[usize]) -> Result<(), Fault> {
     const ROUNDS: usize = 5;
     print_line(format_args!(
@@ -273,24 +284,24 @@
     ));
     print_line("| forwarders | list to first revoke | to last revoke | to first new line | to last line open for writes |");
     print_line("| --- | --- | --- | --- | --- |");
-    let mut within = Vec::new();
+    let mut phase_rows = Vec::new();
     for &count in forwarders {
-        let rig = Rig::start(slices, servers, count, "debug").await?;
+        let bed = TestBed::start(slices, servers, count, "debug").await?;
         let mut columns: [Vec<f64>; 4] = Default::default();
-        let mut inside: [Vec<f64>; 5] = Default::default();
-        let mut gone = Vec::new();
+        let mut phases: [Vec<f64>; 5] = Default::default();
+        let mut draining = Vec::new();
         for round in 0..ROUNDS {
-            // The ledger's window is past, so that every drain meets the same allowance.
+            // Longer than the message window, so that every drain starts with the full message allowance.
             tokio::time::sleep(Duration::from_secs(11)).await;
-            rig.clear();
-            gone.push(round);
+            bed.clear();
+            draining.push(round);
             let (began, wall) = (Instant::now(), std::time::SystemTime::now());
-            list(rig.dir.path(), rig.servers, &gone)?;
-            rig.settled(slices, &gone).await?;
-            if let Some(parts) = parts(&rig.dir.path().join("steward.log"), wall)? {
-                inside.iter_mut().zip(parts).for_each(|(column, part)| column.push(part));
+            write_server_list(bed.dir.path(), bed.servers, &draining)?;
+            bed.wait_settled(slices, &draining).await?;
+            if let Some(times) = update_phases(&bed.dir.path().join("steward.log"), wall)? {
+                phases.iter_mut().zip(times).for_each(|(column, time)| column.push(time));
             }
-            let received = rig.received.borrow();
+            let received = bed.received.borrow();
             let since =
                 |at: Option<Instant>| at.map_or(0.0, |at| at.duration_since(began).as_secs_f64() * 1000.0);
             let all = |pick: &dyn Fn(&Received) -> Option<Instant>| {
@@ -300,7 +311,7 @@
             let last = |of: Vec<f64>| of.into_iter().fold(0.0, f64::max);
             columns[0].push(first(all(&|t| t.dropped)));
             columns[1].push(last(all(&|t| t.dropped)));
-            columns[2].push(first(all(&|t| t.first_route)));
+            columns[2].push(first(all(&|t| t.first_line)));
             columns[3].push(last(all(&|t| t.opened)));
         }
         let shown = columns.map(|mut column| {
@@ -308,27 +319,27 @@
             format!("{:.1} / {worst:.1}", median(&mut column))
         });
         print_line(format_args!("| {count} | {} |", shown.join(" | ")));
-        let inside = inside.map(|mut column| format!("{:.2}", median(&mut column)));
-        within.push(format!("| {count} | {} |", inside.join(" | ")));
+        let phases = phases.map(|mut column| format!("{:.2}", median(&mut column)));
+        phase_rows.push(format!("| {count} | {} |", phases.join(" | ")));
     }
     print_line("\nThe same drains by the steward's own log: ms from the list's change, median.\n");
     print_line(
         "| forwarders | list read | turn decided | lines durable | first message out | last message out |",
     );
     print_line("| --- | --- | --- | --- | --- | --- |");
-    within.iter().for_each(print_line);
+    phase_rows.iter().for_each(print_line);
     Ok(())
 }
 
-/// What the steward said of its record when it ended, over all of its run: lines, turns with lines, commits.
-fn ended(log: &Path) -> std::io::Result<String> {
+/// Returns the record's totals that the steward logged at its end: lines, updates with lines, commits.
+fn record_totals(log: &Path) -> std::io::Result<String> {
     let text = std::fs::read_to_string(log)?;
     let mut entries = text.lines().filter_map(|line| serde_json::from_str::<serde_json::Value>(line).ok());
     let last = entries.rfind(|entry| entry["message"] == "ending").unwrap_or_default();
     Ok(format!("{}, {}, {}", last["lines"], last["batches"], last["commits"]))
 }
 
-/// CPU and memory at rest and while a third of the servers leaves in three waves.
+/// Measures CPU and memory, idle and while a third of the servers leaves in three waves.
 pub async fn load(slices: usize, servers: usize, forwarders: &[usize]) -> Result<(), Fault> {
     print_line(format_args!(
         "\nCPU (share of a core) and memory of the steward, {servers} servers, {slices} slices.\n"
@@ -336,34 +347,35 @@
     print_line("| forwarders | CPU at rest | MiB at rest | release takes | CPU in it | MiB after | messages a forwarder | lines recorded, in turns, in commits |");
     print_line("| --- | --- | --- | --- | --- | --- | --- | --- |");
     for &count in forwarders {
-        let mut rig = Rig::start(slices, servers, count, "info").await?;
-        let (before, began) = (rig.steward.cpu(), Instant::now());
+        let mut bed = TestBed::start(slices, servers, count, "info").await?;
+        let (before, began) = (bed.steward.cpu(), Instant::now());
         tokio::time::sleep(Duration::from_secs(10)).await;
-        let rest = (rig.steward.cpu() - before) / began.elapsed().as_secs_f64();
-        let memory = rig.memory();
-        let frames = |rig: &Rig| rig.received.borrow().iter().map(|t| t.frames - t.echoes).sum::<u64>();
-        let (before, began, sent) = (rig.steward.cpu(), Instant::now(), frames(&rig));
-        let mut gone = Vec::new();
+        let rest = (bed.steward.cpu() - before) / began.elapsed().as_secs_f64();
+        let memory = bed.memory();
+        let frames = |bed: &TestBed| bed.received.borrow().iter().map(|t| t.frames - t.echoes).sum::<u64>();
+        let (before, began, sent) = (bed.steward.cpu(), Instant::now(), frames(&bed));
+        let mut draining = Vec::new();
         for wave in 0..3 {
-            gone.extend((0..servers / 9).map(|n| wave * (servers / 9) + n));
-            list(rig.dir.path(), rig.servers, &gone)?;
+            draining.extend((0..servers / 9).map(|n| wave * (servers / 9) + n));
+            write_server_list(bed.dir.path(), bed.servers, &draining)?;
             tokio::time::sleep(Duration::from_secs(4)).await;
         }
-        rig.settled(slices, &gone).await?;
+        bed.wait_settled(slices, &draining).await?;
         let took = began.elapsed().as_secs_f64();
-        let busy = (rig.steward.cpu() - before) / took;
-        let each = (frames(&rig) - sent) as f64 / count as f64;
-        let after = rig.memory();
-        rig.steward.end().await;
-        let said = ended(&rig.dir.path().join("steward.log"))?;
+        let busy = (bed.steward.cpu() - before) / took;
+        let each = (frames(&bed) - sent) as f64 / count as f64;
+        let after = bed.memory();
+        bed.steward.end().await;
+        let totals = record_totals(&bed.dir.path().join("steward.log"))?;
         print_line(format_args!(
-            "| {count} | {rest:.3} | {memory:.1} | {took:.1} s | {busy:.3} | {after:.1} | {each:.1} | {said} |"
+            "| {count} | {rest:.3} | {memory:.1} | {took:.1} s | {busy:.3} | {after:.1} | {each:.1} | {totals} |"
         ));
     }
     Ok(())
 }
 
-/// From the start of the process until it listens, and until a forwarder has the whole table, with slices on record.
+/// Measures the time from the start of the process until it listens, and until a forwarder has the whole table, for each
+/// count of recorded slices.
 pub async fn starts(slices: &[usize]) -> Result<(), Fault> {
     print_line("\nStart with slices on record; ms, median of 5.\n");
     print_line("| slices | until it listens | until a forwarder has the whole table |");
@@ -371,8 +383,8 @@
     for &count in slices {
         let dir = tempfile::tempdir()?;
         std::fs::write(dir.path().join("steward.yaml"), settings(count, 1))?;
-        list(dir.path(), 100, &[])?;
-        let failed = |fault: ravenspar_record::Fault| Fault::Failed(fault.to_string());
+        write_server_list(dir.path(), 100, &[])?;
+        let failed = |error: ravenspar_record::Fault| Fault::Failed(error.to_string());
         let record = Record::open(&dir.path().join("steward.redb")).map_err(failed)?;
         let row = |slice: usize| SliceRow {
             slice: slice as u32,
@@ -392,7 +404,7 @@
             let received: Shared = Rc::default();
             received.borrow_mut().push(Received::default());
             let task = spawn_local(forwarder(steward.address, 0, received.clone()));
-            wait("the table is read", || received.borrow()[0].read).await?;
+            wait_until("the table is read", || received.borrow()[0].read).await?;
             reads.push(began.elapsed().as_secs_f64() * 1000.0);
             task.abort();
             steward.end().await;
@@ -404,18 +416,18 @@
     Ok(())
 }
 
-/// Durable writes a second by how many lines share one.
+/// Measures durable writes per second, for several counts of lines in a commit.
 pub fn writes() -> Result<(), Fault> {
     print_line("\nDurable writes, each synced, on the machine's temporary folder.\n");
     print_line("| lines a commit | rest before each | a commit takes | commits/s | lines/s |");
     print_line("| --- | --- | --- | --- | --- |");
     for (lines, rest) in [(1usize, 0), (10, 0), (100, 0), (1_000, 0), (10, 500)] {
         let dir = tempfile::tempdir()?;
-        let failed = |fault: ravenspar_record::Fault| Fault::Failed(fault.to_string());
+        let failed = |error: ravenspar_record::Fault| Fault::Failed(error.to_string());
         let record = Record::open(&dir.path().join("steward.redb")).map_err(failed)?;
         let (began, mut commits, mut busy) = (Instant::now(), 0, Duration::ZERO);
         while began.elapsed() < Duration::from_secs(3) {
-            // A commit after a rest costs more than one among many.
+            // A commit after an idle time takes longer than one of a series.
             std::thread::sleep(Duration::from_millis(rest));
             let commit = Instant::now();
             let row = |n: usize| SliceRow {
--- a/crates/lab/src/measure_sharing.rs
+++ b/crates/lab/src/measure_sharing.rs
@@ -1,4 +1,5 @@
-//! Measures stewards that share: take-overs, planned hand-overs, moves, and what the store is asked. Prints Markdown.
+//! Measures stewards that share a store: take-overs, planned hand-overs, moved slices, and requests to the store. Prints
+//! Markdown.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -12,46 +13,47 @@
 use ravenspar_standin::store::Store;
 use tokio::task::spawn_local;
 
-use crate::measure::{forward, list, quantiles, wait};
+use crate::measure::{quantiles, run_stream, wait_until, write_server_list};
 use crate::processes::Process;
 use crate::stage::Fault;
 use crate::ways::{make_key, Datagrams, Way, Ways};
 
 const SERVERS: usize = 60;
 const FORWARDERS: usize = 12;
-/// Seconds of a membership, as forwarders' leases.
-const LEASE: u64 = 3;
+/// Lease of a membership, in seconds.
+const MEMBER_LEASE: u64 = 3;
 
-/// What a forwarder holds of a slice.
+/// A slice as a forwarder knows it.
 #[derive(Clone, Default)]
-struct Held {
+struct SliceState {
     term: u64,
     steward: usize,
-    /// Whether it has an owner, for reads at least.
-    owned: bool,
+    /// Whether it has an owner, at least for reads.
+    has_owner: bool,
+    /// Whether writes are open.
     open: bool,
-    /// When its steward left it, and since when it is in charge of the next.
-    left: Option<Instant>,
-    owned_since: Option<Instant>,
-    /// When it could be written last under the steward before, and first under this one.
-    until: Option<Instant>,
-    written: Option<Instant>,
+    /// When its steward announced that it leaves the slice, and when the slice was assigned to the next.
+    left_at: Option<Instant>,
+    assigned_at: Option<Instant>,
+    /// When it could last be written under the previous steward, and first under this one.
+    last_writable: Option<Instant>,
+    first_writable: Option<Instant>,
 }
 
 #[derive(Default)]
 struct Received {
-    slices: Vec<Held>,
-    /// By steward: how long its lease lasts.
+    slices: Vec<SliceState>,
+    /// By steward: when its lease ends.
     leases: Vec<Option<Instant>>,
     assignments: u64,
-    /// Slices that came into another's charge and had no owner once the frame was taken in.
-    bare: u64,
+    /// Slices that were assigned to another steward and had no owner after that frame.
+    ownerless: u64,
 }
 
 type Shared = Rc<RefCell<Vec<Received>>>;
 
-/// A light forwarder's streams to one steward, one after the other.
-async fn follow(
+/// Keeps a light forwarder connected to one steward; reconnects when the stream ends.
+async fn keep_connected(
     address: Rc<RefCell<Vec<Option<std::net::SocketAddr>>>>,
     steward: usize,
     number: usize,
@@ -60,26 +62,27 @@
     loop {
         let at = address.borrow()[steward];
         if let Some(at) = at {
-            let _ = stream(at, steward, number, &received).await;
+            let _ = run_one_stream(at, steward, number, &received).await;
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
-async fn stream(
+async fn run_one_stream(
     address: std::net::SocketAddr,
     steward: usize,
     number: usize,
     received: &Shared,
 ) -> std::io::Result<()> {
     let mut lease = Duration::ZERO;
-    forward(address, number, |began, body| {
-        take(&mut received.borrow_mut()[number], steward, body, began, &mut lease)
+    run_stream(address, number, |began, body| {
+        handle_frame(&mut received.borrow_mut()[number], steward, body, began, &mut lease)
     })
     .await
 }
 
-fn take(
+/// Applies a frame, and returns the answer if one was asked for.
+fn handle_frame(
     received: &mut Received,
     steward: usize,
     body: &[u8],
@@ -89,59 +92,59 @@
     let now = Instant::now();
     let mut body = Body::new(body)?;
     let (mut answer, mut asked) = (Frame::new(kind::ANSWER), false);
-    let mut came = Vec::new();
+    let mut taken_over = Vec::new();
     while let Some((tag, mut field)) = body.field()? {
         match tag {
             tag::LEASE => *lease = Duration::from_micros(field.number()? * 100),
             tag::SENT if body.kind() == kind::ECHO => {
                 let until = began + Duration::from_micros(field.number()? * 100) + *lease;
                 received.leases[steward] = received.leases[steward].max(Some(until));
-                // Slices that came with no lease yet can be written from here on.
-                let held = received.slices.iter_mut().filter(|held| held.steward == steward && held.open);
-                held.for_each(|held| held.written = held.written.or(Some(now)));
+                // Slices that were opened before the first lease become writable now.
+                let open = received.slices.iter_mut().filter(|state| state.steward == steward && state.open);
+                open.for_each(|state| state.first_writable = state.first_writable.or(Some(now)));
             }
             tag::CHARGE => {
                 let (first, count, term) = (field.index()?, field.index()?, field.number()?);
                 for slice in first..first + count {
                     if received.slices[slice].term < term {
                         let old = received.slices[slice].clone();
-                        let until = received.leases[old.steward].filter(|_| old.open && old.term > 0);
-                        received.slices[slice] = Held {
+                        let last_writable = received.leases[old.steward].filter(|_| old.open && old.term > 0);
+                        received.slices[slice] = SliceState {
                             term,
                             steward,
-                            left: old.left,
-                            owned_since: Some(now),
-                            until,
-                            ..Held::default()
+                            left_at: old.left_at,
+                            assigned_at: Some(now),
+                            last_writable,
+                            ..SliceState::default()
                         };
                         received.assignments += 1;
-                        came.extend(Some(slice).filter(|_| old.term > 0));
+                        taken_over.extend(Some(slice).filter(|_| old.term > 0));
                     }
                 }
             }
             tag::LINE | tag::HELD => {
-                let (slice, _, whole) = (field.index()?, field.number()?, field.fraction()? >= 1.0);
+                let (slice, _, full_weight) = (field.index()?, field.number()?, field.fraction()? >= 1.0);
                 let leased = received.leases[steward].is_some_and(|until| until > now);
-                let held = &mut received.slices[slice];
-                if held.steward == steward {
-                    (held.owned, held.open) = (true, whole);
-                    if whole && leased {
-                        held.written = held.written.or(Some(now));
+                let state = &mut received.slices[slice];
+                if state.steward == steward {
+                    (state.has_owner, state.open) = (true, full_weight);
+                    if full_weight && leased {
+                        state.first_writable = state.first_writable.or(Some(now));
                     }
                 }
             }
             tag::LEFT => {
                 let (first, count) = (field.index()?, field.index()?);
-                for held in &mut received.slices[first..first + count] {
-                    if held.steward == steward {
-                        held.left = Some(now);
+                for state in &mut received.slices[first..first + count] {
+                    if state.steward == steward {
+                        state.left_at = Some(now);
                     }
                 }
             }
             tag::DROP => {
-                let held = &mut received.slices[field.index()?];
-                if held.steward == steward {
-                    (held.owned, held.open) = (false, false);
+                let state = &mut received.slices[field.index()?];
+                if state.steward == steward {
+                    (state.has_owner, state.open) = (false, false);
                 }
             }
             tag::MARK | tag::END => {
@@ -151,11 +154,13 @@
             _ => {}
         }
     }
-    received.bare += came.into_iter().filter(|&slice| !received.slices[slice].owned).count() as u64;
+    received.ownerless +=
+        taken_over.into_iter().filter(|&slice| !received.slices[slice].has_owner).count() as u64;
     Ok(asked.then(|| answer.finish()))
 }
 
-struct Rig {
+/// Stewards with a store and light forwarders.
+struct TestBed {
     dir: tempfile::TempDir,
     store: Store,
     stewards: Vec<Option<Process>>,
@@ -164,11 +169,11 @@
     datagrams: Option<Rc<Datagrams>>,
 }
 
-impl Rig {
-    /// `view`: how the ways are by which stewards keep a view among themselves; none: they keep none.
-    async fn start(stewards: usize, slices: usize, view: Option<Way>) -> Result<Rig, Fault> {
+impl TestBed {
+    /// `view`: conditions of the links by which the stewards keep a view; `None` for no view.
+    async fn start(stewards: usize, slices: usize, view: Option<Way>) -> Result<TestBed, Fault> {
         let dir = tempfile::tempdir()?;
-        list(dir.path(), SERVERS, &[])?;
+        write_server_list(dir.path(), SERVERS, &[])?;
         let store = Store::new(1);
         let address = store.listen().await?;
         let mut datagrams = None;
@@ -186,13 +191,13 @@
         }
         let received: Shared = Rc::default();
         let new = || Received {
-            slices: vec![Held::default(); slices],
+            slices: vec![SliceState::default(); slices],
             leases: vec![None; stewards],
             assignments: 0,
-            bare: 0,
+            ownerless: 0,
         };
         received.borrow_mut().resize_with(FORWARDERS, new);
-        let mut rig = Rig {
+        let mut bed = TestBed {
             dir,
             store,
             stewards: (0..stewards).map(|_| None).collect(),
@@ -201,15 +206,15 @@
             datagrams,
         };
         for steward in 0..stewards {
-            rig.start_steward(steward).await?;
+            bed.start_steward(steward).await?;
         }
         for number in 0..FORWARDERS {
             for steward in 0..stewards {
-                spawn_local(follow(rig.addresses.clone(), steward, number, rig.received.clone()));
+                spawn_local(keep_connected(bed.addresses.clone(), steward, number, bed.received.clone()));
             }
         }
-        rig.settled(None).await?;
-        Ok(rig)
+        bed.wait_settled(None).await?;
+        Ok(bed)
     }
 
     async fn start_steward(&mut self, steward: usize) -> Result<(), Fault> {
@@ -221,57 +226,59 @@
         Ok(())
     }
 
-    /// Waits until every slice can be written at every forwarder, in even shares, by none but those who are there.
-    async fn settled(&self, gone: Option<usize>) -> Result<(), Fault> {
-        let there: Vec<usize> = (0..self.stewards.len()).filter(|steward| Some(*steward) != gone).collect();
-        wait("slices are open in even shares", || {
+    /// Waits until every slice is writable at every forwarder, with slices assigned evenly to all stewards except `gone`.
+    async fn wait_settled(&self, gone: Option<usize>) -> Result<(), Fault> {
+        let present: Vec<usize> = (0..self.stewards.len()).filter(|steward| Some(*steward) != gone).collect();
+        wait_until("slices are open in even shares", || {
             self.received.borrow().iter().all(|received| {
                 let mut counts = vec![0; self.stewards.len()];
-                let open = received.slices.iter().all(|held| {
-                    counts[held.steward] += 1;
-                    held.open && held.written.is_some() && there.contains(&held.steward)
+                let open = received.slices.iter().all(|state| {
+                    counts[state.steward] += 1;
+                    state.open && state.first_writable.is_some() && present.contains(&state.steward)
                 });
-                let shares = there.iter().map(|&steward| counts[steward]);
+                let shares = present.iter().map(|&steward| counts[steward]);
                 open && shares.clone().max().unwrap_or(0) - shares.min().unwrap_or(0) <= 1
             })
         })
         .await
     }
 
-    /// Slices by steward, as the first forwarder has them.
+    /// Returns the slices of each steward, according to the first forwarder.
     fn shares(&self) -> BTreeMap<usize, Vec<usize>> {
         let mut shares: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
-        for (slice, held) in self.received.borrow()[0].slices.iter().enumerate() {
-            shares.entry(held.steward).or_default().push(slice);
+        for (slice, state) in self.received.borrow()[0].slices.iter().enumerate() {
+            shares.entry(state.steward).or_default().push(slice);
         }
         shares
     }
 
-    /// From a moment until each of some slices could be written again, and how long it could not, in ms, in order.
+    /// For these slices at all forwarders: time from `from` until each was writable again, and how long each was not writable.
+    /// Both in ms, sorted.
     fn gaps(&self, slices: &[usize], from: Instant) -> (Vec<f64>, Vec<f64>) {
         let ms = |span: Duration| span.as_secs_f64() * 1e3;
-        let (mut until, mut gaps) = (Vec::new(), Vec::new());
+        let (mut until_write, mut gaps) = (Vec::new(), Vec::new());
         for received in self.received.borrow().iter() {
-            for held in slices.iter().map(|&slice| &received.slices[slice]) {
-                if let Some(written) = held.written {
-                    until.push(ms(written.saturating_duration_since(from)));
-                    gaps.push(ms(held
-                        .until
-                        .map_or(Duration::ZERO, |last| written.saturating_duration_since(last))));
+            for state in slices.iter().map(|&slice| &received.slices[slice]) {
+                if let Some(first_writable) = state.first_writable {
+                    until_write.push(ms(first_writable.saturating_duration_since(from)));
+                    gaps.push(ms(state
+                        .last_writable
+                        .map_or(Duration::ZERO, |last| first_writable.saturating_duration_since(last))));
                 }
             }
         }
-        until.sort_by(f64::total_cmp);
+        until_write.sort_by(f64::total_cmp);
         gaps.sort_by(f64::total_cmp);
-        (until, gaps)
+        (until_write, gaps)
     }
 }
 
+/// The settings of one steward.
 fn settings(steward: usize, stewards: usize, slices: usize, store: std::net::SocketAddr) -> String {
     format!(
         "listen: 127.0.0.1:0\nrecord: {steward}.redb\nlist: {{path: servers.yaml}}\nforwarders: {FORWARDERS}\n\
          slices: {slices}\nstewards: {stewards}\nstore: etcd\n\
-         share: {{name: steward-{steward}, endpoints: [\"http://{store}\"], member_lease: {LEASE}s}}\n\
+         share: {{name: steward-{steward}, endpoints: [\"http://{store}\"], member_lease: {MEMBER_LEASE}s}}\n\
          lease: 4s\nsettle: 1s\nhold: 300ms\nunserved_most: 20s\nsilent_after: 3s\n\
          channel: {{lines_per_s: 130000, waiting_lines: 260000, message_cost: 16, messages: 20, messages_within: 10s}}\n\
          reports: {{every: 2s, lines_per_s: 600}}\n\
@@ -281,19 +288,19 @@
     )
 }
 
-/// The fewest charges that have to change hands for even shares.
-fn fewest(shares: &BTreeMap<usize, Vec<usize>>, before: usize, after: usize, slices: usize) -> usize {
+/// Returns how many slices must move at least for even shares.
+fn min_moves(shares: &BTreeMap<usize, Vec<usize>>, before: usize, after: usize, slices: usize) -> usize {
     if after < before {
-        // Those of whoever leaves.
+        // Those of the steward that leaves.
         return shares.values().map(Vec::len).min().unwrap_or(0);
     }
     slices / after
 }
 
-/// Deaths, leaves and joins: `rounds` of each.
+/// Measures `rounds` crashes, joins and orderly leaves of stewards.
 pub async fn take_overs(stewards: &[usize], slices: &[usize], rounds: usize) -> Result<(), Fault> {
     print_line(format_args!(
-        "\n{FORWARDERS} forwarders, memberships of {LEASE} s, forwarders' leases of 4 s; ms as median / 99th / worst \
+        "\n{FORWARDERS} forwarders, memberships of {MEMBER_LEASE} s, forwarders' leases of 4 s; ms as median / 99th / worst \
          over slices and forwarders, {rounds} rounds. `bare`: slices that had no owner for reads when they came into another's charge."
     ));
     print_line("\n| stewards | slices | view | at rest: store requests/s | bare | death: to next write | death: without writes | requests in it | join: moves (fewest) | leave: moves (fewest) |");
@@ -301,52 +308,55 @@
     let runs = stewards.iter().flat_map(|&count| slices.iter().map(move |&slices| (count, slices)));
     for (count, slices) in runs {
         for view in [false, true] {
-            let mut rig = Rig::start(count, slices, view.then(Way::default)).await?;
-            let (mut until, mut gaps) = (Vec::new(), Vec::new());
+            let mut bed = TestBed::start(count, slices, view.then(Way::default)).await?;
+            let (mut until_write, mut gaps) = (Vec::new(), Vec::new());
             let (mut asked, mut joins, mut leaves) = (0, Vec::new(), Vec::new());
-            let (before, began) = (rig.store.requests(), Instant::now());
+            let (before, began) = (bed.store.requests(), Instant::now());
             tokio::time::sleep(Duration::from_secs(4)).await;
-            let rest = (rig.store.requests() - before) as f64 / began.elapsed().as_secs_f64();
+            let rest = (bed.store.requests() - before) as f64 / began.elapsed().as_secs_f64();
             for round in 0..rounds {
                 let gone = round % count;
-                let own = rig.shares().remove(&gone).unwrap_or_default();
-                let before = rig.store.requests();
-                rig.addresses.borrow_mut()[gone] = None;
+                let own = bed.shares().remove(&gone).unwrap_or_default();
+                let before = bed.store.requests();
+                bed.addresses.borrow_mut()[gone] = None;
                 let from = Instant::now();
-                if let Some(mut process) = rig.stewards[gone].take() {
+                if let Some(mut process) = bed.stewards[gone].take() {
                     process.kill().await;
                 }
-                rig.settled(Some(gone)).await?;
-                asked += rig.store.requests() - before;
-                let (mut a, mut b) = rig.gaps(&own, from);
-                until.append(&mut a);
+                bed.wait_settled(Some(gone)).await?;
+                asked += bed.store.requests() - before;
+                let (mut a, mut b) = bed.gaps(&own, from);
+                until_write.append(&mut a);
                 gaps.append(&mut b);
-                let moved = |rig: &Rig| rig.received.borrow()[0].assignments;
-                let (shares, before) = (rig.shares(), moved(&rig));
-                rig.start_steward(gone).await?;
-                rig.settled(None).await?;
-                joins.push((moved(&rig) - before, fewest(&shares, count - 1, count, slices)));
-                let (shares, before) = (rig.shares(), moved(&rig));
+                let moved = |bed: &TestBed| bed.received.borrow()[0].assignments;
+                let (shares, before) = (bed.shares(), moved(&bed));
+                bed.start_steward(gone).await?;
+                bed.wait_settled(None).await?;
+                joins.push((moved(&bed) - before, min_moves(&shares, count - 1, count, slices)));
+                let (shares, before) = (bed.shares(), moved(&bed));
                 let leaver = (gone + 1) % count;
-                rig.addresses.borrow_mut()[leaver] = None;
-                if let Some(mut process) = rig.stewards[leaver].take() {
+                bed.addresses.borrow_mut()[leaver] = None;
+                if let Some(mut process) = bed.stewards[leaver].take() {
                     process.end().await;
                 }
-                rig.settled(Some(leaver)).await?;
-                leaves.push((moved(&rig) - before, fewest(&shares, count, count - 1, slices)));
-                rig.start_steward(leaver).await?;
-                rig.settled(None).await?;
+                bed.wait_settled(Some(leaver)).await?;
+                leaves.push((moved(&bed) - before, min_moves(&shares, count, count - 1, slices)));
+                bed.start_steward(leaver).await?;
+                bed.wait_settled(None).await?;
             }
-            until.sort_by(f64::total_cmp);
+            until_write.sort_by(f64::total_cmp);
             gaps.sort_by(f64::total_cmp);
             let moves = |all: &[(u64, usize)]| {
-                all.iter().map(|(moved, fewest)| format!("{moved} ({fewest})")).collect::<Vec<_>>().join(", ")
+                all.iter()
+                    .map(|(moved, min_moves)| format!("{moved} ({min_moves})"))
+                    .collect::<Vec<_>>()
+                    .join(", ")
             };
-            let bare: u64 = rig.received.borrow().iter().map(|received| received.bare).sum();
+            let ownerless: u64 = bed.received.borrow().iter().map(|received| received.ownerless).sum();
             print_line(format_args!(
-                "| {count} | {slices} | {} | {rest:.1} | {bare} | {} | {} | {} | {} | {} |",
+                "| {count} | {slices} | {} | {rest:.1} | {ownerless} | {} | {} | {} | {} | {} |",
                 if view { "yes" } else { "no" },
-                quantiles(until, 0),
+                quantiles(until_write, 0),
                 quantiles(gaps, 0),
                 asked / rounds as u64,
                 moves(&joins),
@@ -357,7 +367,7 @@
     Ok(())
 }
 
-/// Planned hand-overs without a view, with one and its hints, and with parts of its datagrams lost.
+/// Measures planned hand-overs without a view, with a view and its hints, and with a view over bad links.
 pub async fn planned(stewards: usize, slices: usize, rounds: usize) -> Result<(), Fault> {
     print_line(format_args!(
         "\nA steward of {stewards} ends in order, {slices} slices, {rounds} times: from a forwarder's hearing that a slice is \
@@ -365,41 +375,42 @@
     ));
     print_line("\n| view | left to in charge | without writes |");
     print_line("| --- | ---: | ---: |");
-    let bad = Way { loss: 0.3, doubled: 0.1, late: Duration::from_millis(25), ..Way::default() };
-    let views = [("no", None), ("yes", Some(Way::default())), ("yes, 30% lost, doubled, late", Some(bad))];
+    let bad_link = Way { loss: 0.3, doubled: 0.1, late: Duration::from_millis(25), ..Way::default() };
+    let views =
+        [("no", None), ("yes", Some(Way::default())), ("yes, 30% lost, doubled, late", Some(bad_link))];
     for (name, view) in views {
-        let mut rig = Rig::start(stewards, slices, view).await?;
+        let mut bed = TestBed::start(stewards, slices, view).await?;
         let (mut waits, mut gaps) = (Vec::new(), Vec::new());
         for round in 0..rounds {
             let leaver = round % stewards;
-            let own = rig.shares().remove(&leaver).unwrap_or_default();
+            let own = bed.shares().remove(&leaver).unwrap_or_default();
             let from = Instant::now();
-            if let Some(mut process) = rig.stewards[leaver].take() {
+            if let Some(mut process) = bed.stewards[leaver].take() {
                 process.end().await;
             }
-            rig.addresses.borrow_mut()[leaver] = None;
-            rig.settled(Some(leaver)).await?;
-            for received in rig.received.borrow().iter() {
-                for held in own.iter().map(|&slice| &received.slices[slice]) {
-                    if let (Some(left), Some(owned_since)) = (held.left, held.owned_since) {
-                        waits.push(owned_since.saturating_duration_since(left).as_secs_f64() * 1e3);
+            bed.addresses.borrow_mut()[leaver] = None;
+            bed.wait_settled(Some(leaver)).await?;
+            for received in bed.received.borrow().iter() {
+                for state in own.iter().map(|&slice| &received.slices[slice]) {
+                    if let (Some(left_at), Some(assigned_at)) = (state.left_at, state.assigned_at) {
+                        waits.push(assigned_at.saturating_duration_since(left_at).as_secs_f64() * 1e3);
                     }
                 }
             }
-            gaps.append(&mut rig.gaps(&own, from).1);
-            rig.start_steward(leaver).await?;
-            rig.settled(None).await?;
+            gaps.append(&mut bed.gaps(&own, from).1);
+            bed.start_steward(leaver).await?;
+            bed.wait_settled(None).await?;
         }
         waits.sort_by(f64::total_cmp);
         gaps.sort_by(f64::total_cmp);
-        let lost = rig.datagrams.as_ref().map_or(String::new(), |of| format!(" ({})", of.counts()));
+        let lost = bed.datagrams.as_ref().map_or(String::new(), |of| format!(" ({})", of.counts()));
         print_line(format_args!("| {name}{lost} | {} | {} |", quantiles(waits, 0), quantiles(gaps, 0)));
     }
     Ok(())
 }
 
-/// All of it.
-pub async fn sharing(stewards: &[usize], slices: &[usize], rounds: usize) -> Result<(), Fault> {
+/// Runs all measurements.
+pub async fn run_all(stewards: &[usize], slices: &[usize], rounds: usize) -> Result<(), Fault> {
     take_overs(stewards, slices, rounds).await?;
     planned(3, 1_700, rounds.max(3)).await
 }
