--- a/crates/lab/src/measure_sharing.rs
+++ b/crates/lab/src/measure_sharing.rs
@@ -9,7 +9,8 @@
 
 use bytes::Bytes;
 use ravenspar::print_line;
-use ravenspar_protocol::{kind, tag, Body, Fault as Unreadable, Frame};
+use ravenspar_protocol::Fault as Unreadable;
+use ravenspar_protocol::{kind, tag, Body, Frame};
 use ravenspar_standin::store::Store;
 use tokio::task::spawn_local;
 
