--- a/crates/lab/src/day.rs
+++ b/crates/lab/src/day.rs
@@ -55,7 +55,7 @@
     /// If true, the stewards keep a view of the fleet.
     #[serde(default)]
     pub view: bool,
-    /// The links by which the stewards exchange datagrams for it.
+    /// Conditions of the links by which the stewards exchange datagrams for it.
     #[serde(default)]
     pub datagrams: How,
     #[serde(default, rename = "troubles")]
@@ -87,6 +87,7 @@
     /// Microseconds that a forwarder blocks for each line.
     #[serde(default)]
     pub stall_us: u64,
+    /// After this many failures in a row (0: never) a forwarder avoids a server for `away_for`.
     #[serde(default)]
     pub away_after: u32,
     #[serde(default)]
@@ -118,7 +119,7 @@
 #[serde(deny_unknown_fields)]
 pub struct ForwarderPause {
     pub forwarder: usize,
-    /// Which write, counted as `--stop-at` of the forwarder counts them.
+    /// The number of the write, as the forwarder's `--stop-at` takes it.
     pub write: u64,
     #[serde(rename = "for")]
     pub lasts: Span,
@@ -131,6 +132,7 @@
     /// First tries per second.
     pub rate: f64,
     pub keys: u64,
+    /// The nth key is requested in proportion to 1 / n^skew.
     #[serde(default)]
     pub skew: f64,
     pub retries: u64,
--- a/crates/lab/src/judge/drain.rs
+++ b/crates/lab/src/judge/drain.rs
@@ -9,7 +9,7 @@
 
 pub fn judge(events: &[Event], rules: &Rules, tables: &ForwarderTables, violations: &mut Vec<Violation>) {
     /// A req that was sent in time may take this long to cross loopback on a busy machine.
-    const CROSSING: Time = 1_000;
+    const MAX_TRANSIT: Time = 1_000;
     // When each server was listed as leaving.
     let mut leaving: BTreeMap<&str, Time> = BTreeMap::new();
     let mut listed: Vec<&str> = Vec::new();
@@ -51,7 +51,7 @@
                     continue;
                 }
                 let since = since.max(resumed).max(assigned_since);
-                if at - since > rules.drain_grace + CROSSING {
+                if at - since > rules.drain_grace + MAX_TRANSIT {
                     let late = (at - since - rules.drain_grace) as f64 / ravenspar_standin::SECOND as f64;
                     let what = format!(
                         "forwarder {forwarder} sent req {req} to {server} {late:.3} s after the grace"
--- a/crates/lab/src/judge/writers.rs
+++ b/crates/lab/src/judge/writers.rs
@@ -64,7 +64,7 @@
     }
     for (slice, writes) in &slices {
         for (i, write) in writes.iter().enumerate() {
-            // Looking back over 2,000 writes is enough: older ones have ended. The bound keeps long captures cheap to judge.
+            // Looking back over 2,000 writes is enough, as older ones have ended. The bound keeps long captures cheap to judge.
             let before = writes[..i].iter().rev().take(2_000);
             if let Some(other) =
                 before.clone().find(|other| other.server != write.server && other.end > write.at)
