--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -29,7 +29,7 @@
 
     /// Returns this clock with its wall time shifted by `offset`. Tests use it to show that nothing depends
     /// on wall clocks being in step.
-    pub fn off_by(self, offset: Time) -> Clock {
+    pub fn with_offset(self, offset: Time) -> Clock {
         Clock { wall_at_start: self.wall_at_start + offset, ..self }
     }
 
--- a/crates/platform-net/src/lib.rs
+++ b/crates/platform-net/src/lib.rs
@@ -9,7 +9,7 @@
 mod serve;
 mod tasks;
 
-pub use serve::{serve, Fault};
+pub use serve::{serve, ServeError};
 
 use std::net::SocketAddr;
 
--- a/crates/platform-net/src/serve.rs
+++ b/crates/platform-net/src/serve.rs
@@ -15,9 +15,9 @@
 
 /// Why the steward could not start or go on.
 #[derive(Debug)]
-pub enum Fault {
+pub enum ServeError {
     /// The configuration is invalid; says what was expected.
-    Input(String),
+    InvalidConfig(String),
     /// The system or a socket task failed.
     Failed(String),
 }
@@ -43,8 +43,8 @@
     span / (ravenspar_platform::SECOND / 1000)
 }
 
-fn failed(what: &str) -> impl Fn(std::io::Error) -> Fault + '_ {
-    move |error| Fault::Failed(format!("{what}: {error}"))
+fn failed(what: &str) -> impl Fn(std::io::Error) -> ServeError + '_ {
+    move |error| ServeError::Failed(format!("{what}: {error}"))
 }
 
 struct SessionLoop {
@@ -62,8 +62,8 @@
 }
 
 /// Serves with the configuration at `path` until SIGTERM or SIGINT.
-pub async fn serve(path: &Path) -> Result<(), Fault> {
-    let input = |why: String| Fault::Input(format!("{}: {why}", path.display()));
+pub async fn serve(path: &Path) -> Result<(), ServeError> {
+    let input = |why: String| ServeError::InvalidConfig(format!("{}: {why}", path.display()));
     let mut hangup = signal(SignalKind::hangup()).map_err(failed("signals"))?;
     let mut terminate = signal(SignalKind::terminate()).map_err(failed("signals"))?;
     let mut interrupt = signal(SignalKind::interrupt()).map_err(failed("signals"))?;
@@ -112,8 +112,8 @@
             _ = terminate.recv() => break,
             _ = interrupt.recv() => break,
             _ = hangup.recv() => reload_at = reload(path, &addresses, true),
-            why = listener_task.next_exit() => return Err(Fault::Failed(why)),
-            why = tasks.next_exit() => return Err(Fault::Failed(why)),
+            why = listener_task.next_exit() => return Err(ServeError::Failed(why)),
+            why = tasks.next_exit() => return Err(ServeError::Failed(why)),
             event = inputs.recv() => session_loop.handle_events(event, &mut inputs),
             _ = status.tick() => session_loop.log_status(),
             () = tokio::time::sleep_until(reload_at.unwrap_or(wake)), if reload_at.is_some() => {
--- a/crates/ravenspar/src/serve.rs
+++ b/crates/ravenspar/src/serve.rs
@@ -66,7 +66,7 @@
             EtcdList { client, prefix, kept, refresh: refresh_list.clone(), seed }.follow(notifications);
         }
     }
-    let clock = Clock::new().off_by(clock_off);
+    let clock = Clock::new().with_offset(clock_off);
     let fleet = match &cfg.fleet {
         None => None,
         Some(settings) => {
