--- a/crates/lab/src/faults.rs
+++ b/crates/lab/src/faults.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::rc::Rc;
 
-use ravenspar_standin::server::{Ills, Server};
+use ravenspar_standin::server::{InjectedFaults, Server};
 use ravenspar_standin::store::Faults;
 use ravenspar_standin::{duration, Event, Time, SECOND};
 use tokio::time::sleep;
@@ -17,7 +17,7 @@
 pub async fn inject(fleet: &Rc<Fleet>, what: &FaultKind, began: Time) -> io::Result<()> {
     let text = format!("{what:?}");
     print_line(format_args!("{:7.3} s  {text}", (fleet.capture.now() - began) as f64 / SECOND as f64));
-    fleet.capture.note(|at| Event::Trouble { at, text });
+    fleet.capture.note(|at| Event::FaultInjected { at, text });
     let wait = |span: Span| sleep(duration(span.0));
     match what {
         FaultKind::Drain { servers, stay } => {
@@ -59,9 +59,9 @@
             let all = running_servers(fleet);
             let gap = duration(within.0 / all.len().max(1) as Time);
             for server in all {
-                server.die();
+                server.crash();
                 sleep(gap).await;
-                server.revive()?;
+                server.restart()?;
                 let fleet = fleet.clone();
                 tokio::task::spawn_local(async move {
                     sleep(duration(fleet.day.notice.0)).await;
@@ -90,7 +90,7 @@
             .await;
         }
         FaultKind::FalseLoad { servers, says, lasts } => {
-            degrade_servers(fleet, *servers, *lasts, |faults| faults.says = Some(*says)).await;
+            degrade_servers(fleet, *servers, *lasts, |faults| faults.reported_util = Some(*says)).await;
         }
         FaultKind::SlowConnects { servers, by, lasts } => {
             degrade_servers(fleet, *servers, *lasts, |faults| faults.slow_connects = by.0).await;
@@ -276,9 +276,9 @@
             }
         }
         FaultKind::Overload { times, lasts } => {
-            fleet.clients.times.set(*times);
+            fleet.clients.rate_multiplier.set(*times);
             wait(*lasts).await;
-            fleet.clients.times.set(1.0);
+            fleet.clients.rate_multiplier.set(1.0);
         }
     }
     Ok(())
@@ -315,7 +315,7 @@
         if let Some(id) = stopped {
             let text = format!("steward {} stands still at {}", pause.steward, pause.at);
             print_line(&text);
-            fleet.capture.note(|at| Event::Trouble { at, text });
+            fleet.capture.note(|at| Event::FaultInjected { at, text });
             fleet.record_steward_state(pause.steward, "stopped");
             sleep(duration(pause.lasts.0)).await;
             // Signalled by its id: if it is being shut down by now, it is no longer in its slot.
@@ -438,7 +438,7 @@
 async fn retire(fleet: &Fleet, server: &Rc<Server>, stay: Span) {
     sleep(duration(stay.0)).await;
     server.drain();
-    server.die();
+    server.crash();
     sleep(duration(fleet.day.notice.0)).await;
     fleet.listing.remove(server);
 }
@@ -446,7 +446,7 @@
 /// Starts another server, cold, and lists it.
 async fn start_cold(fleet: &Fleet) -> io::Result<()> {
     let server = fleet.new_server().await?;
-    server.come_up();
+    server.start_cold();
     sleep(duration(fleet.day.notice.0)).await;
     fleet.listing.show(&server, "ready");
     Ok(())
@@ -454,7 +454,7 @@
 
 /// Kills servers and starts them again, cold; the list follows with the day's notice.
 async fn kill_and_revive(fleet: &Rc<Fleet>, servers: Vec<Rc<Server>>, back_after: Span) -> io::Result<()> {
-    servers.iter().for_each(|server| server.die());
+    servers.iter().for_each(|server| server.crash());
     let notice = fleet.day.notice;
     let unlisting = {
         let (fleet, servers) = (fleet.clone(), servers.clone());
@@ -465,7 +465,7 @@
     };
     sleep(duration(back_after.0)).await;
     for server in &servers {
-        server.revive()?;
+        server.restart()?;
     }
     sleep(duration(notice.0)).await;
     unlisting.await.map_err(io::Error::other)?;
@@ -474,13 +474,13 @@
 }
 
 /// Makes servers misbehave for a time.
-async fn degrade_servers(fleet: &Fleet, count: usize, lasts: Span, configure: impl Fn(&mut Ills)) {
+async fn degrade_servers(fleet: &Fleet, count: usize, lasts: Span, configure: impl Fn(&mut InjectedFaults)) {
     let servers = pick_servers(fleet, count);
     for server in &servers {
-        let mut faults = Ills::default();
+        let mut faults = InjectedFaults::default();
         configure(&mut faults);
-        server.set_ills(faults);
+        server.inject_faults(faults);
     }
     sleep(duration(lasts.0)).await;
-    servers.iter().for_each(|server| server.set_ills(Ills::default()));
+    servers.iter().for_each(|server| server.inject_faults(InjectedFaults::default()));
 }
--- a/crates/lab/src/judge/cold.rs
+++ b/crates/lab/src/judge/cold.rs
@@ -6,7 +6,7 @@
 
 pub fn judge(events: &[Event], violations: &mut Vec<Violation>) {
     for event in events {
-        let Event::Fell { at, server, boot } = event else { continue };
+        let Event::Overloaded { at, server, boot } = event else { continue };
         // A steward can't protect a server whose start was not listed yet.
         let known = events.iter().take_while(|event| event.at() <= *at).any(|event| {
             matches!(event, Event::Listed { servers, .. }
--- a/crates/lab/src/judge/drain.rs
+++ b/crates/lab/src/judge/drain.rs
@@ -41,8 +41,8 @@
                     entry.0 = *at;
                 }
             }
-            Event::Took { at, server, req, forwarder, slice, .. }
-            | Event::Turned { at, server, req, forwarder, slice, .. } => {
+            Event::Accepted { at, server, req, forwarder, slice, .. }
+            | Event::Rejected { at, server, req, forwarder, slice, .. } => {
                 let Some(&since) = leaving.get(server.as_str()) else { continue };
                 let assignment = tables.assigned_since(*forwarder, *slice as usize, *at);
                 let Some((assigned_since, steward)) = assignment else { continue };
--- a/crates/lab/src/judge/service.rs
+++ b/crates/lab/src/judge/service.rs
@@ -25,7 +25,7 @@
     let mut asked: BTreeMap<u64, (Time, usize, bool)> = BTreeMap::new();
     for event in events {
         match *event {
-            Event::Asked { at, req, kind } if kind < rules.kinds.len() => {
+            Event::Requested { at, req, kind } if kind < rules.kinds.len() => {
                 asked.insert(req, (at, kind, false));
             }
             Event::Answered { req, kind, status, took, .. } => {
--- a/crates/lab/src/judge/tables.rs
+++ b/crates/lab/src/judge/tables.rs
@@ -81,7 +81,7 @@
                     let _ = tables.apply_frame(*at, *stream, entry, *down, &body, slices);
                 }
                 Event::Opened { stream, steward, .. } => _ = tables.stewards.insert(*stream, *steward),
-                Event::Shut { at, stream } => tables.close_stream(*at, *stream),
+                Event::Closed { at, stream } => tables.close_stream(*at, *stream),
                 Event::Forwarder { at, number, state } if state == "killed" => {
                     // A killed forwarder loses its table.
                     (0..slices).for_each(|slice| tables.set_route(*at, *number, slice, None));
@@ -288,7 +288,7 @@
         }
         let mut writes: BTreeMap<usize, Vec<(Time, &str)>> = BTreeMap::new();
         for event in events {
-            if let Event::Took { at, server, slice, writes: true, .. } = event {
+            if let Event::Accepted { at, server, slice, writes: true, .. } = event {
                 writes.entry(*slice as usize).or_default().push((*at, server));
             }
         }
--- a/crates/lab/src/judge/tests.rs
+++ b/crates/lab/src/judge/tests.rs
@@ -64,7 +64,16 @@
 }
 
 fn took(at: Time, server: &str, req: u64, forwarder: u64, until: Time) -> Event {
-    Event::Took { at, server: server.to_owned(), req, attempt: 0, slice: 0, writes: true, forwarder, until }
+    Event::Accepted {
+        at,
+        server: server.to_owned(),
+        req,
+        attempt: 0,
+        slice: 0,
+        writes: true,
+        forwarder,
+        until,
+    }
 }
 
 fn ended(at: Time, server: &str, req: u64) -> Event {
@@ -180,8 +189,9 @@
 
 #[test]
 fn rule_4_a_cold_server_overloaded() {
-    let fell =
-        |boot| [listed(100, &[("a", "ready", 50)]), Event::Fell { at: 200, server: "a".to_owned(), boot }];
+    let fell = |boot| {
+        [listed(100, &[("a", "ready", 50)]), Event::Overloaded { at: 200, server: "a".to_owned(), boot }]
+    };
     assert_eq!(broken_rules(fell(50)), [3]);
     // That start was never listed.
     assert_eq!(broken_rules(fell(150)), NO_VIOLATIONS);
@@ -208,7 +218,7 @@
 
 #[test]
 fn service_counts_credit_within_the_response_target_with_retries_in_their_first_try() {
-    let asked = |req, kind| Event::Asked { at: 10, req, kind };
+    let asked = |req, kind| Event::Requested { at: 10, req, kind };
     let answered = |req, kind, status, took| Event::Answered { at: 10 + took, req, kind, status, took };
     let done = ravenspar_standin::status::DONE;
     let events = [
--- a/crates/lab/src/judge/writers.rs
+++ b/crates/lab/src/judge/writers.rs
@@ -26,7 +26,7 @@
     let mut count = 0;
     for event in events {
         match event {
-            Event::Took { at, server, req, attempt, slice, writes: true, forwarder, until } => {
+            Event::Accepted { at, server, req, attempt, slice, writes: true, forwarder, until } => {
                 count += 1;
                 let writes = slices.entry(*slice).or_default();
                 open.insert((server, *req, *attempt), (*slice, writes.len()));
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -38,7 +38,7 @@
     for pause in fleet.day.pauses.clone() {
         spawn_local(crate::faults::continue_steward(fleet.clone(), pause));
     }
-    fleet.clients.arrive(began + fleet.day.length.0).await;
+    fleet.clients.send_until(began + fleet.day.length.0).await;
     for task in injected {
         // Faults that outlast the clients are awaited too, so that their effects are judged.
         if let Err(why) = task.await.map_err(io::Error::other).and_then(|result| result) {
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -114,7 +114,7 @@
             return false;
         };
         let verdict = judge::judge(&events, &rules);
-        let faults = events.iter().filter(|event| matches!(event, Event::Trouble { .. })).count();
+        let faults = events.iter().filter(|event| matches!(event, Event::FaultInjected { .. })).count();
         let first = verdict.violations.first();
         let verdict_text = match (first, played) {
             (Some(first), _) => format!("{}: {}", judge::RULES[first.rule], first.what),
--- a/crates/lab/src/stage.rs
+++ b/crates/lab/src/stage.rs
@@ -307,7 +307,7 @@
         }
         let args = args.into_iter().map(OsString::from).collect();
         let process = Process::start(args, &self.dir.join(format!("forwarder-{number}.log"))).await?;
-        self.clients.forwarder_at(number, process.address);
+        self.clients.set_forwarder_address(number, process.address);
         *slot = Some(process);
         self.capture.note(|at| Event::Forwarder { at, number: number as u64, state: "started".to_owned() });
         Ok(())
@@ -376,6 +376,6 @@
             let body = hex(bytes);
             capture.note(|at| Event::Frame { at, stream, down: !up, body });
         }
-        Seen::Shut => capture.note(|at| Event::Shut { at, stream }),
+        Seen::Shut => capture.note(|at| Event::Closed { at, stream }),
     })
 }
--- a/crates/lab/src/work/judge.rs
+++ b/crates/lab/src/work/judge.rs
@@ -7,7 +7,7 @@
 mod rank;
 mod timeline;
 
-use ravenspar_standin::effects::Landing;
+use ravenspar_standin::effects::CallRecord;
 use ravenspar_standin::store::Change;
 use ravenspar_standin::{Time, SECOND};
 use serde::Serialize;
@@ -30,7 +30,7 @@
     pub changes: Vec<Change>,
     /// Uses by token and job id, as the agents recorded them.
     pub used: Vec<((u64, String), Time)>,
-    pub landings: Vec<Landing>,
+    pub landings: Vec<CallRecord>,
     #[serde(rename = "befell")]
     pub injected: Vec<InjectedFault>,
     #[serde(rename = "handed_in")]
--- a/crates/lab/src/work/judge/tests.rs
+++ b/crates/lab/src/work/judge/tests.rs
@@ -113,10 +113,10 @@
     fn applies_step(&mut self, site: &str, job: &str, token: u64, step: u64) {
         self.at += SECOND / 10;
         let call = Call::Step { site: site.to_owned(), job: job.to_owned(), token, step };
-        self.observed.landings.push(Landing {
+        self.observed.landings.push(CallRecord {
             at: self.at,
             call,
-            answer: Answer::Landed(step + 1),
+            answer: Answer::Applied(step + 1),
             effect: true,
         });
     }
--- a/crates/lab/src/work/play.rs
+++ b/crates/lab/src/work/play.rs
@@ -150,7 +150,8 @@
             let ends = (End::Agent(m), End::Effects);
             let watch = Rc::new(|_, _: crate::ways::Seen| ());
             effects_proxies.push(
-                Streams::listen(&ways, ends, effects_at.clone(), || codec(effects::MOST), watch).await?,
+                Streams::listen(&ways, ends, effects_at.clone(), || codec(effects::MAX_MESSAGE_BYTES), watch)
+                    .await?,
             );
         }
         Ok(Rc::new(Fleet {
--- a/crates/ravenspar/tests/faults/storm.rs
+++ b/crates/ravenspar/tests/faults/storm.rs
@@ -61,31 +61,31 @@
         Fault::Broken,
         Fault::Torn,
         Fault::Reset,
-        Fault::Dripped,
-        Fault::Spoilt,
+        Fault::ByteByByte,
+        Fault::Malformed,
         Fault::Throttled,
-        Fault::Twice,
+        Fault::Duplicated,
     ];
     match rng.u8(0..16) {
         0 => relay.cut(),
         1 => {
-            relay.with(|state| state.silent_news = true);
+            relay.with(|state| state.silent_subscriptions = true);
             relay.cut();
             sleep(span).await;
-            relay.with(|state| state.silent_news = false);
+            relay.with(|state| state.silent_subscriptions = false);
             // A subscription that fell silent never receives the missed notifications.
             relay.cut();
         }
         2 => {
             let faults: Vec<Fault> =
                 (0..rng.usize(1..12)).map(|_| calls[rng.usize(0..calls.len())]).collect();
-            relay.befall(&faults);
+            relay.inject(&faults);
         }
         3 => {
             // Answers given while the subscription is broken.
-            relay.with(|state| state.mute = true);
+            relay.with(|state| state.ignores_marks = true);
             sleep(span).await;
-            relay.with(|state| state.mute = false);
+            relay.with(|state| state.ignores_marks = false);
             relay.cut();
         }
         4 => {
@@ -98,9 +98,9 @@
         5 => {
             for _ in 0..rng.u64(1..20) {
                 let slice = rng.u64(0..SLICES);
-                let row = relay.with(|state| state.take_slice(slice));
+                let row = relay.with(|state| state.unassign_slice(slice));
                 sleep(Duration::from_millis(rng.u64(0..30))).await;
-                relay.with(|state| state.give_slice(slice, row));
+                relay.with(|state| state.assign_slice(slice, row));
             }
         }
         6 => {
@@ -188,7 +188,7 @@
         return Err(format!("a drain was due for {drain_due:?}"));
     }
     let draining: Vec<String> = faulty.discovery.leaving();
-    let none_at_draining = |state: &ravenspar_standin::platform::Said| {
+    let none_at_draining = |state: &ravenspar_standin::platform::RelayState| {
         let fits =
             |row: &Option<(String, f64)>| row.as_ref().is_none_or(|(owner, _)| !draining.contains(owner));
         state.rows.values().all(fits)
@@ -196,14 +196,14 @@
     if timeout(ORDER_TIMEOUT, faulty.relay.until(none_at_draining)).await.is_err() {
         return Err(format!("drains of {draining:?} are not done"));
     }
-    let served = |state: &ravenspar_standin::platform::Said| {
+    let served = |state: &ravenspar_standin::platform::RelayState| {
         let serves = |row: &Option<(String, f64)>| row.as_ref().is_some_and(|(_, weight)| *weight >= 1.0);
         state.rows.values().all(serves) && none_at_draining(state)
     };
     if timeout(TEST_TIMEOUT, faulty.relay.until(served)).await.is_err() {
         return Err("slices are without a server".to_owned());
     }
-    let (moved, late) = faulty.relay.with(|state| (state.moved_directly.clone(), state.calls_too_late));
+    let (moved, late) = faulty.relay.with(|state| (state.moved_directly.clone(), state.late_calls));
     if !moved.is_empty() {
         return Err(format!("slices moved with no revoke between, {late} calls too late: {moved:?}"));
     }
--- a/crates/ravenspar/tests/platform/answers.rs
+++ b/crates/ravenspar/tests/platform/answers.rs
@@ -7,11 +7,11 @@
 #[tokio::test]
 async fn a_call_completes_whatever_cuts_its_answer_off() {
     let (relay, discovery, _, _steward) = start_serving().await;
-    use Fault::{AndEnd, Broken, Dripped, Reset, Torn, Twice};
-    for fault in [Torn, Reset, Dripped, AndEnd, Broken, Twice] {
-        relay.befall(&[fault]);
+    use Fault::{AnswerThenClose, Broken, ByteByByte, Duplicated, Reset, Torn};
+    for fault in [Torn, Reset, ByteByByte, AnswerThenClose, Broken, Duplicated] {
+        relay.inject(&[fault]);
         move_all_slices(&relay, &discovery, "A", "B").await;
-        relay.befall(&[fault, fault]);
+        relay.inject(&[fault, fault]);
         move_all_slices(&relay, &discovery, "B", "A").await;
     }
 }
@@ -19,7 +19,7 @@
 #[tokio::test]
 async fn a_duplicate_answer_is_not_taken_for_the_next_call() {
     let (relay, discovery, _, _steward) = start_serving().await;
-    relay.befall(&[Fault::Twice, Fault::Twice, Fault::Twice]);
+    relay.inject(&[Fault::Duplicated, Fault::Duplicated, Fault::Duplicated]);
     move_all_slices(&relay, &discovery, "A", "B").await;
     // A call that is sent again has a mark of its own, so the revokes show it.
     let orders = relay.with(|state| state.orders.clone());
@@ -30,7 +30,7 @@
 #[tokio::test]
 async fn an_answer_after_the_timeout_changes_nothing() {
     let (relay, discovery, _, _steward) = start_serving().await;
-    relay.befall(&[Fault::Held, Fault::Held]);
+    relay.inject(&[Fault::Held, Fault::Held]);
     discovery.set("A", "leaving");
     // The second call is a retry: the first timed out, and its answer arrives while the second waits for its
     // own.
--- a/crates/ravenspar/tests/platform/configuration.rs
+++ b/crates/ravenspar/tests/platform/configuration.rs
@@ -3,7 +3,7 @@
 use std::process::Stdio;
 use std::time::Duration;
 
-use ravenspar_standin::platform::{Discovery, Fault, Relay, Said};
+use ravenspar_standin::platform::{Discovery, Fault, Relay, RelayState};
 use serde_json::{json, Value};
 use tokio::io::AsyncWriteExt;
 use tokio::process::Command;
@@ -22,11 +22,11 @@
     steward.signal("-HUP").await;
     assert!(steward.wait_for_log("the previous one stays in use").await.contains("expected"));
     // During a move whose calls are lost.
-    relay.befall(&[Fault::Lost, Fault::Unanswered, Fault::Lost]);
+    relay.inject(&[Fault::Lost, Fault::Unanswered, Fault::Lost]);
     discovery.set("A", "leaving");
     wait_until(&relay, |state| state.calls > 0).await;
     let (new_relay, new_discovery) =
-        (relay.also().await.expect("a relay"), Discovery::start(&["A", "B"]).await);
+        (relay.at_new_address().await.expect("a relay"), Discovery::start(&["A", "B"]).await);
     let new_discovery = new_discovery.expect("discovery");
     new_discovery.set("A", "leaving");
     config["relay"]["address"] = json!(new_relay.address.to_string());
@@ -132,7 +132,7 @@
 async fn a_file_half_written_at_the_signal_is_read_once_it_is_complete() {
     let (relay, discovery, mut config, mut steward) = start_serving().await;
     let (new_relay, new_discovery) =
-        (relay.also().await.expect("a relay"), Discovery::start(&["A", "B"]).await);
+        (relay.at_new_address().await.expect("a relay"), Discovery::start(&["A", "B"]).await);
     let new_discovery = new_discovery.expect("discovery");
     config["relay"]["address"] = json!(new_relay.address.to_string());
     config["discovery"] = json!(new_discovery.address.to_string());
@@ -158,7 +158,7 @@
     move_all_slices(&relay, &new_discovery, "B", "A").await;
     assert_eq!(relay.with(|state| state.subscriptions), 1, "the subscription was kept");
     let connections = new_discovery.connections();
-    let new_relay = relay.also().await.expect("a relay");
+    let new_relay = relay.at_new_address().await.expect("a relay");
     config["relay"]["address"] = json!(new_relay.address.to_string());
     std::fs::write(&steward.config, config.to_string()).expect("the file is written");
     steward.signal("-HUP").await;
@@ -194,7 +194,7 @@
     // B answers all requests late; they are of one class.
     let late_reports = r#"{"msg":"LOAD","site":"belém, doca 2","target":"B","count":100,"fail":0,"mean":5000.0,"over":500.0}"#;
     let requests = r#"{"msg":"SHARD","range":0,"lane":"crédito já","count":200,"fail":0,"over":500.0}"#;
-    let levels = |state: &mut Said| {
+    let levels = |state: &mut RelayState| {
         let levels: Vec<Value> = state
             .orders
             .iter()
@@ -212,7 +212,7 @@
     };
     timeout(Duration::from_secs(20), reported).await.expect("a level is ordered in time");
     let levels = relay.with(levels);
-    assert_eq!(relay.with(|state| state.refused), 0);
+    assert_eq!(relay.with(|state| state.refused_orders), 0);
     assert!(
         levels.iter().all(|level| level["routes"] == json!(["crédito já"])),
         "levels name the class alone: {levels:?}"
--- a/crates/ravenspar/tests/platform/end.rs
+++ b/crates/ravenspar/tests/platform/end.rs
@@ -11,7 +11,7 @@
 async fn decided_calls_are_carried_out_before_exit() {
     let (relay, discovery, _, mut steward) = start_serving().await;
     // The revoke is lost: not carried out and not answered.
-    relay.befall(&[Fault::Lost]);
+    relay.inject(&[Fault::Lost]);
     discovery.set("A", "leaving");
     wait_until(&relay, |state| state.calls == 1).await;
     steward.signal("-TERM").await;
@@ -24,7 +24,7 @@
 async fn a_relay_that_never_answers_and_a_second_signal_do_not_delay_exit() {
     for signals in [1, 2] {
         let (relay, discovery, _, mut steward) = start_serving().await;
-        relay.befall(&[Fault::Lost; 100]);
+        relay.inject(&[Fault::Lost; 100]);
         discovery.set("A", "leaving");
         wait_until(&relay, |state| state.calls == 1).await;
         let signalled_at = std::time::Instant::now();
@@ -40,12 +40,12 @@
 #[tokio::test]
 async fn a_steward_restarted_during_a_move_completes_it_from_the_store() {
     let (relay, discovery, config, mut steward) = start_serving().await;
-    relay.with(|state| state.mute = true);
+    relay.with(|state| state.ignores_marks = true);
     discovery.set("A", "leaving");
     wait_until(&relay, |state| state.rows.values().all(Option::is_none)).await;
     steward.signal("-TERM").await;
     assert_eq!(steward.wait_exit().await.code(), Some(0));
-    relay.with(|state| state.mute = false);
+    relay.with(|state| state.ignores_marks = false);
     let mut restarted = Steward::start(&config).await;
     assert!(answers_ping(&mut restarted.connect().await).await);
     wait_until(&relay, |state| all_slices_at(state, "B")).await;
--- a/crates/ravenspar/tests/platform/harness.rs
+++ b/crates/ravenspar/tests/platform/harness.rs
@@ -4,7 +4,7 @@
 use std::process::{ExitStatus, Stdio};
 use std::time::Duration;
 
-use ravenspar_standin::platform::{Discovery, Relay, Said};
+use ravenspar_standin::platform::{Discovery, Relay, RelayState};
 use serde_json::{json, Value};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
@@ -182,18 +182,18 @@
 }
 
 /// Waits until the relay's state fulfils a condition.
-pub async fn wait_until(relay: &Relay, condition: impl Fn(&Said) -> bool) {
+pub async fn wait_until(relay: &Relay, condition: impl Fn(&RelayState) -> bool) {
     timeout(TEST_TIMEOUT, relay.until(condition)).await.expect("the state is reached in time");
 }
 
 /// Returns true if all slices are at this host with full weight.
-pub fn all_slices_at(state: &Said, host: &str) -> bool {
+pub fn all_slices_at(state: &RelayState, host: &str) -> bool {
     state.rows.values().all(|row| row.as_ref().is_some_and(|(owner, weight)| owner == host && *weight == 1.0))
 }
 
 /// Asserts that no slice moves to another host without a revoke between, and that calls arrive in their
 /// order.
-pub fn assert_moves_revoke_first(state: &Said) {
+pub fn assert_moves_revoke_first(state: &RelayState) {
     let mut owners = std::collections::BTreeMap::new();
     for order in &state.orders {
         let slice = order["cluster"].as_u64();
@@ -217,7 +217,7 @@
     let steward = Steward::start(&config).await;
     wait_until(&relay, |state| state.subscriptions == 1).await;
     // A second call shows that the answer to the first was accepted.
-    timeout(TEST_TIMEOUT, discovery.until_called(2)).await.expect("a watch in time");
+    timeout(TEST_TIMEOUT, discovery.wait_for_calls(2)).await.expect("a watch in time");
     (relay, discovery, config, steward)
 }
 
--- a/crates/ravenspar/tests/platform/list.rs
+++ b/crates/ravenspar/tests/platform/list.rs
@@ -18,8 +18,8 @@
 #[tokio::test]
 async fn lists_that_are_cut_off_are_requested_again() {
     let (relay, discovery, _, _steward) = start_serving().await;
-    use ListFault::{Broken, Short, Silent, Spoilt};
-    discovery.befall(&[Broken, Short, Spoilt, Silent, Broken, Broken, Broken, Broken, Short]);
+    use ListFault::{Broken, Malformed, Short, Silent};
+    discovery.inject(&[Broken, Short, Malformed, Silent, Broken, Broken, Broken, Broken, Short]);
     move_all_slices(&relay, &discovery, "A", "B").await;
     move_all_slices(&relay, &discovery, "B", "A").await;
 }
@@ -35,7 +35,7 @@
 #[tokio::test]
 async fn a_discovery_that_renumbers_its_versions_is_followed() {
     let (relay, discovery, mut config, mut steward) = start_serving().await;
-    discovery.renumber(40);
+    discovery.reset_version(40);
     move_all_slices(&relay, &discovery, "A", "B").await;
     let new_discovery = Discovery::start(&["A", "B"]).await.expect("discovery");
     config["discovery"] = json!(new_discovery.address.to_string());
--- a/crates/ravenspar/tests/platform/news.rs
+++ b/crates/ravenspar/tests/platform/news.rs
@@ -15,7 +15,7 @@
 #[tokio::test]
 async fn an_unusable_notification_does_not_end_the_next_subscription() {
     let (relay, discovery, _, mut steward) = start_serving().await;
-    relay.with(|state| (0..3).for_each(|_| state.tell("{}".to_owned())));
+    relay.with(|state| (0..3).for_each(|_| state.notify_subscribers("{}".to_owned())));
     wait_until(&relay, |state| state.subscriptions == 2).await;
     move_all_slices(&relay, &discovery, "A", "B").await;
     assert_eq!(relay.with(|state| state.subscriptions), 2);
--- a/crates/ravenspar/tests/platform/recovery.rs
+++ b/crates/ravenspar/tests/platform/recovery.rs
@@ -5,12 +5,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ravenspar_standin::platform::{Discovery, Fault, Relay, Said};
+use ravenspar_standin::platform::{Discovery, Fault, Relay, RelayState};
 use serde_json::json;
 
 use crate::harness::*;
 
-fn is_revoked(state: &Said, slice: u64) -> bool {
+fn is_revoked(state: &RelayState, slice: u64) -> bool {
     state.orders.iter().any(|order| order["verb"] == "clear" && order["cluster"] == slice)
 }
 
@@ -29,11 +29,11 @@
     // capacity while no proxy answers.
     steward.wait_for_log("all that stands is told").await;
     // The proxies answer, and the subscription breaks off before any answer is reported.
-    relay.with(|state| state.mute = true);
+    relay.with(|state| state.ignores_marks = true);
     discovery.set("A", "leaving");
     wait_until(&relay, |state| (0..20).all(|slice| is_revoked(state, slice))).await;
     relay.cut();
-    relay.with(|state| state.mute = false);
+    relay.with(|state| state.ignores_marks = false);
     wait_until(&relay, |state| all_slices_at(state, "B")).await;
     relay.with(|state| assert_moves_revoke_first(state));
 }
@@ -46,8 +46,8 @@
         let (relay, over) = (relay.clone(), over.clone());
         async move {
             while !over.load(Ordering::Relaxed) {
-                let row = relay.with(|state| state.take_slice(0));
-                relay.with(|state| state.give_slice(0, row));
+                let row = relay.with(|state| state.unassign_slice(0));
+                relay.with(|state| state.assign_slice(0, row));
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         }
@@ -70,14 +70,14 @@
 #[tokio::test]
 async fn a_lost_revoke_is_sent_again_while_no_notifications_arrive() {
     let (relay, discovery, _, _steward) = start_serving().await;
-    relay.with(|state| state.silent_news = true);
-    relay.befall(&[Fault::Lost, Fault::Lost]);
+    relay.with(|state| state.silent_subscriptions = true);
+    relay.inject(&[Fault::Lost, Fault::Lost]);
     discovery.set("A", "leaving");
     wait_until(&relay, |state| state.calls == 1).await;
     relay.cut();
     wait_until(&relay, |state| (0..2).all(|slice| is_revoked(state, slice))).await;
     assert_eq!(relay.with(|state| state.subscriptions), 1, "no notification arrived meanwhile");
-    relay.with(|state| state.silent_news = false);
+    relay.with(|state| state.silent_subscriptions = false);
     wait_until(&relay, |state| all_slices_at(state, "B")).await;
     relay.with(|state| assert_moves_revoke_first(state));
 }
--- a/crates/ravenspar/tests/platform/stopped.rs
+++ b/crates/ravenspar/tests/platform/stopped.rs
@@ -28,8 +28,8 @@
         tokio::time::sleep(Duration::from_secs_f64(2.0 * lease)).await;
         relay.with(|state| {
             let ping = r#"{"jsonrpc":"2.0","method":"ping","params":{}}"#;
-            (0..3_000).for_each(|_| state.tell(ping.to_owned()));
-            state.slow = Some(1);
+            (0..3_000).for_each(|_| state.notify_subscribers(ping.to_owned()));
+            state.unresponsive_proxy = Some(1);
             state.join(1);
         });
         discovery.set("A", "leaving");
@@ -45,7 +45,7 @@
             "granted before the proxy answered: {:?}",
             relay.with(|state| state.orders.clone())
         );
-        relay.with(|state| state.slow = None);
+        relay.with(|state| state.unresponsive_proxy = None);
         relay.cut();
         wait_until(&relay, |state| all_slices_at(state, "B")).await;
         move_all_slices(&relay, &discovery, "B", "A").await;
--- a/crates/ravenspar/tests/soak/lists.rs
+++ b/crates/ravenspar/tests/soak/lists.rs
@@ -65,17 +65,17 @@
     }
 
     /// Discovery stops answering the steward.
-    pub fn fall_silent(&mut self, steward: usize) {
+    pub fn stop_answering(&mut self, steward: usize) {
         self.received[steward].discovery = Discovery::Silent(None);
     }
 
     /// The current list is what the steward receives next.
-    pub fn hold_back(&mut self, steward: usize) {
+    pub fn pin_list(&mut self, steward: usize) {
         self.received[steward].discovery = Discovery::Silent(Some(self.draining.clone()));
     }
 
     /// The steward receives the list that was held back.
-    pub fn speak(&mut self, steward: usize) {
+    pub fn resume_answering(&mut self, steward: usize) {
         let received = &mut self.received[steward];
         if let Discovery::Silent(held) = std::mem::replace(&mut received.discovery, Discovery::Old) {
             received.draining = held.unwrap_or_else(|| self.draining.clone());
@@ -84,7 +84,7 @@
     }
 
     /// The steward receives the newest list.
-    pub fn catch_up(&mut self, steward: usize) {
+    pub fn unpin_list(&mut self, steward: usize) {
         let received = &mut self.received[steward];
         received.draining.clone_from(&self.draining);
         (received.has_list, received.discovery) = (true, Discovery::Current);
--- a/crates/ravenspar/tests/soak/lists_tests.rs
+++ b/crates/ravenspar/tests/soak/lists_tests.rs
@@ -53,14 +53,14 @@
 #[test]
 fn a_drain_is_due_once_it_is_received() {
     let mut store = store();
-    store.lists.fall_silent(0);
-    store.lists.hold_back(0);
+    store.lists.stop_answering(0);
+    store.lists.pin_list(0);
     store.lists.set(0, true);
     pass(&mut store, Duration::ZERO, 3 * SECOND);
-    store.lists.speak(0);
+    store.lists.resume_answering(0);
     pass(&mut store, 3 * SECOND, 6 * SECOND);
     assert_violations(&store, &[]);
-    store.lists.catch_up(0);
+    store.lists.unpin_list(0);
     pass(&mut store, 6 * SECOND, 7 * SECOND);
     assert_violations(&store, &[]);
     pass(&mut store, 7 * SECOND, 7 * SECOND + 2 * STEP);
@@ -71,14 +71,14 @@
 fn a_drain_received_before_the_silence_or_in_an_old_list_stays_due() {
     let mut received_before = store();
     received_before.lists.set(0, true);
-    received_before.lists.fall_silent(0);
+    received_before.lists.stop_answering(0);
     pass(&mut received_before, Duration::ZERO, SECOND + 2 * STEP);
     assert_violations(&received_before, &["drain"]);
     let mut received_old = store();
-    received_old.lists.fall_silent(0);
+    received_old.lists.stop_answering(0);
     received_old.lists.set(0, true);
-    received_old.lists.hold_back(0);
-    received_old.lists.speak(0);
+    received_old.lists.pin_list(0);
+    received_old.lists.resume_answering(0);
     pass(&mut received_old, Duration::ZERO, SECOND + 2 * STEP);
     assert_violations(&received_old, &["drain"]);
 }
@@ -87,11 +87,11 @@
 fn an_unserved_slice_waits_for_the_first_list_of_a_process_and_no_longer() {
     let mut store = store();
     store.carry_out(0, &[serde_json::json!({"verb": "clear", "cluster": 0})]);
-    store.lists.fall_silent(0);
+    store.lists.stop_answering(0);
     store.lists.process_starts(0);
     pass(&mut store, Duration::ZERO, 3 * SECOND);
     assert_violations(&store, &[]);
-    store.lists.speak(0);
+    store.lists.resume_answering(0);
     pass(&mut store, 3 * SECOND, 4 * SECOND + 2 * STEP);
     assert_violations(&store, &["lost"]);
 }
@@ -120,20 +120,20 @@
     const FULL_LIST: &str = "/discovery/hosts";
     const WATCH: &str = "/discovery/hosts?since=1&timeout_ms=10";
     let discovery = Discovery::start(&["s0", "s1"]).await.expect("an address");
-    discovery.fall_silent();
+    discovery.stop_answering();
     let (mut full, mut watch) = (request(&discovery, FULL_LIST).await, request(&discovery, WATCH).await);
-    discovery.until_called(2).await;
+    discovery.wait_for_calls(2).await;
     discovery.set("s0", "leaving");
-    discovery.hold_back();
+    discovery.pin_list();
     discovery.set("s1", "leaving");
     for stream in [&mut full, &mut watch] {
         assert!(timeout(Duration::from_millis(50), stream.read_u8()).await.is_err(), "no answer arrives");
     }
-    discovery.speak();
+    discovery.resume_answering();
     let old = (2, vec!["s0".to_owned()]);
     assert_eq!((read_list(full).await, read_list(watch).await), (old.clone(), old));
     let later = request(&discovery, "/discovery/hosts?since=2&timeout_ms=20000").await;
-    discovery.until_called(3).await;
-    discovery.catch_up();
+    discovery.wait_for_calls(3).await;
+    discovery.unpin_list();
     assert_eq!(read_list(later).await, (3, vec!["s1".to_owned()]));
 }
--- a/crates/ravenspar/tests/soak/member.rs
+++ b/crates/ravenspar/tests/soak/member.rs
@@ -152,17 +152,17 @@
     pub async fn delay_list(&self, late: LateList) {
         let discovery = || self.discovery.borrow().clone();
         let number = self.number;
-        discovery().fall_silent();
-        self.store().lists.fall_silent(number);
+        discovery().stop_answering();
+        self.store().lists.stop_answering(number);
         sleep(late.until_held).await;
-        discovery().hold_back();
-        self.store().lists.hold_back(number);
+        discovery().pin_list();
+        self.store().lists.pin_list(number);
         sleep(late.held).await;
-        discovery().speak();
-        self.store().lists.speak(number);
+        discovery().resume_answering();
+        self.store().lists.resume_answering(number);
         sleep(late.old).await;
-        discovery().catch_up();
-        self.store().lists.catch_up(number);
+        discovery().unpin_list();
+        self.store().lists.unpin_list(number);
         self.store().late_lists += 1;
     }
 
@@ -375,7 +375,7 @@
     pub async fn change_addresses(&self) -> std::io::Result<bool> {
         let relay = self.relay.open().await?;
         let discovery = self.discovery.borrow().clone();
-        let discovery = Rc::new(discovery.also().await?);
+        let discovery = Rc::new(discovery.at_new_address().await?);
         if !self.accepts_hangup() {
             return Ok(false);
         }
--- a/crates/standin/src/agent/runs.rs
+++ b/crates/standin/src/agent/runs.rs
@@ -13,7 +13,7 @@
 use tokio_util::codec::Framed;
 
 use super::Agent;
-use crate::effects::{Answer, Call, MOST};
+use crate::effects::{Answer, Call, MAX_MESSAGE_BYTES};
 
 /// The specification of a job in the lab's days.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -105,7 +105,7 @@
     let connecting = timeout(Duration::from_secs(2), TcpStream::connect(effects)).await;
     let socket = connecting.ok().and_then(Result::ok).ok_or(Stopped::Unavailable)?;
     let _ = socket.set_nodelay(true);
-    let mut frames = Framed::new(socket, codec(MOST));
+    let mut frames = Framed::new(socket, codec(MAX_MESSAGE_BYTES));
     let mut call = async |call: Call| -> Result<u64, Stopped> {
         if !agent.holds(job, token) {
             return Err(Stopped::NotHeld);
@@ -124,7 +124,7 @@
         let answer = timeout(Duration::from_secs(2), frames.next()).await;
         let body = answer.ok().flatten().and_then(Result::ok).ok_or(Stopped::Unavailable)?;
         match serde_json::from_slice(&body).map_err(|_| Stopped::Unavailable)? {
-            Answer::Landed(steps) => Ok(steps),
+            Answer::Applied(steps) => Ok(steps),
             Answer::Refused(_) => Err(Stopped::NotHeld),
         }
     };
--- a/crates/standin/src/capture.rs
+++ b/crates/standin/src/capture.rs
@@ -20,7 +20,7 @@
     Opened { at: Time, stream: u64, steward: usize },
     /// A stream between a forwarder and a steward has ended.
     #[serde(rename = "shut")]
-    Shut { at: Time, stream: u64 },
+    Closed { at: Time, stream: u64 },
     /// The server list was published: server, state, boot.
     Listed { at: Time, servers: Vec<(String, String, Time)> },
     /// A server has started, for the first time or again.
@@ -29,10 +29,10 @@
     Down { at: Time, server: String },
     /// A server crashed, overloaded while it was cold.
     #[serde(rename = "fell")]
-    Fell { at: Time, server: String, boot: Time },
+    Overloaded { at: Time, server: String, boot: Time },
     /// A server accepted a req, which ends at `until` at the latest.
     #[serde(rename = "took")]
-    Took {
+    Accepted {
         at: Time,
         server: String,
         req: u64,
@@ -46,15 +46,15 @@
     Ended { at: Time, server: String, req: u64, attempt: u64, slice: u64, writes: bool, done: bool },
     /// A server rejected a req.
     #[serde(rename = "turned")]
-    Turned { at: Time, server: String, req: u64, slice: u64, writes: bool, forwarder: u64, status: u64 },
+    Rejected { at: Time, server: String, req: u64, slice: u64, writes: bool, forwarder: u64, status: u64 },
     /// A client sends the first try of a req.
     #[serde(rename = "asked")]
-    Asked { at: Time, req: u64, kind: usize },
+    Requested { at: Time, req: u64, kind: usize },
     /// A client has its final response or has given up.
     Answered { at: Time, req: u64, kind: usize, status: u64, took: Time },
     /// A fault was injected into the fleet.
     #[serde(rename = "trouble")]
-    Trouble { at: Time, text: String },
+    FaultInjected { at: Time, text: String },
     /// A forwarder process was started, killed, stopped or continued.
     Forwarder { at: Time, number: u64, state: String },
     /// A steward's process was `started`, `killed`, `stopped` or `continued`, or has `ended`.
@@ -84,17 +84,17 @@
         match *self {
             Event::Frame { at, .. }
             | Event::Opened { at, .. }
-            | Event::Shut { at, .. }
+            | Event::Closed { at, .. }
             | Event::Listed { at, .. }
             | Event::Up { at, .. }
             | Event::Down { at, .. }
-            | Event::Fell { at, .. }
-            | Event::Took { at, .. }
+            | Event::Overloaded { at, .. }
+            | Event::Accepted { at, .. }
             | Event::Ended { at, .. }
-            | Event::Turned { at, .. }
-            | Event::Asked { at, .. }
+            | Event::Rejected { at, .. }
+            | Event::Requested { at, .. }
             | Event::Answered { at, .. }
-            | Event::Trouble { at, .. }
+            | Event::FaultInjected { at, .. }
             | Event::Forwarder { at, .. }
             | Event::Steward { at, .. }
             | Event::Began { at } => at,
--- a/crates/standin/src/clients.rs
+++ b/crates/standin/src/clients.rs
@@ -47,7 +47,7 @@
     load: Load,
     capture: Capture,
     /// Multiplier of the rate, for an overload.
-    pub times: Cell<f64>,
+    pub rate_multiplier: Cell<f64>,
     connections: Vec<Rc<Connection>>,
     rng: RefCell<fastrand::Rng>,
     /// Cumulative weights of the keys.
@@ -83,7 +83,7 @@
             rng: RefCell::new(fastrand::Rng::with_seed(load.seed)),
             load,
             capture,
-            times: Cell::new(1.0),
+            rate_multiplier: Cell::new(1.0),
             connections: (0..forwarders).map(|_| Rc::new(connection())).collect(),
             keys,
             next: Cell::new(0),
@@ -93,7 +93,7 @@
     }
 
     /// Sets the address of a forwarder and drops the connection to its old one.
-    pub fn forwarder_at(&self, number: usize, address: SocketAddr) {
+    pub fn set_forwarder_address(&self, number: usize, address: SocketAddr) {
         let connection = &self.connections[number];
         connection.address.set(Some(address));
         connection.frames.borrow_mut().take();
@@ -125,12 +125,12 @@
     }
 
     /// Sends reqs until a point in time, without waiting for responses.
-    pub async fn arrive(self: &Rc<Clients>, until: Time) {
+    pub async fn send_until(self: &Rc<Clients>, until: Time) {
         let mut at = self.capture.now();
         loop {
             let gap = {
                 let sample = self.rng.borrow_mut().f64();
-                -(1.0 - sample).ln() / (self.load.rate * self.times.get())
+                -(1.0 - sample).ln() / (self.load.rate * self.rate_multiplier.get())
             };
             at += (gap * SECOND as f64) as Time;
             if at >= until {
@@ -158,7 +158,7 @@
         let req = self.next.get();
         self.next.set(req + 1);
         self.open.set(self.open.get() + 1);
-        self.capture.note(|at| Event::Asked { at, req, kind });
+        self.capture.note(|at| Event::Requested { at, req, kind });
         let clients = self.clone();
         spawn_local(async move {
             let began = clients.capture.now();
--- a/crates/standin/src/effects.rs
+++ b/crates/standin/src/effects.rs
@@ -17,7 +17,7 @@
 use crate::Time;
 
 /// Maximum size in bytes of a call or an answer.
-pub const MOST: usize = 4_096;
+pub const MAX_MESSAGE_BYTES: usize = 4_096;
 
 /// A call by a site, which names itself in `site`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -36,14 +36,14 @@
 pub enum Answer {
     /// The number of steps that have been applied.
     #[serde(rename = "landed")]
-    Landed(u64),
+    Applied(u64),
     /// Refused, as a higher token has been seen: this one.
     Refused(u64),
 }
 
 /// A call and its answer, as recorded.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Landing {
+pub struct CallRecord {
     pub at: Time,
     pub call: Call,
     pub answer: Answer,
@@ -54,7 +54,7 @@
 struct Inner {
     effect_receiver: EffectReceiver<String>,
     applied: BTreeMap<String, u64>,
-    landings: Vec<Landing>,
+    landings: Vec<CallRecord>,
     /// Fault: it remembers neither tokens nor steps.
     forgets: bool,
     now: Box<dyn Fn() -> Time>,
@@ -77,7 +77,7 @@
     }
 
     /// Returns all calls so far, in order.
-    pub fn landings(&self) -> Vec<Landing> {
+    pub fn landings(&self) -> Vec<CallRecord> {
         self.0.borrow().landings.clone()
     }
 
@@ -96,7 +96,7 @@
 
     async fn serve(self, socket: TcpStream) {
         let _ = socket.set_nodelay(true);
-        let mut frames = Framed::new(socket, codec(MOST));
+        let mut frames = Framed::new(socket, codec(MAX_MESSAGE_BYTES));
         while let Some(Ok(body)) = frames.next().await {
             let Ok(call) = serde_json::from_slice(&body) else { return };
             let answer = serde_json::to_vec(&self.handle_call(call)).unwrap_or_default();
@@ -116,15 +116,15 @@
         let mut effect = false;
         let answer = match (refused, &call) {
             (Some(refused), _) => Answer::Refused(refused.highest_term),
-            (None, Call::Open { .. }) => Answer::Landed(if inner.forgets { 0 } else { *applied }),
+            (None, Call::Open { .. }) => Answer::Applied(if inner.forgets { 0 } else { *applied }),
             (None, Call::Step { step, .. }) => {
                 effect = inner.forgets || *step == *applied;
                 *applied = (*applied).max(step + 1);
-                Answer::Landed(*applied)
+                Answer::Applied(*applied)
             }
         };
         let at = (inner.now)();
-        inner.landings.push(Landing { at, call, answer, effect });
+        inner.landings.push(CallRecord { at, call, answer, effect });
         answer
     }
 }
--- a/crates/standin/src/platform/discovery.rs
+++ b/crates/standin/src/platform/discovery.rs
@@ -58,7 +58,7 @@
     /// It is never sent.
     Silent,
     /// One entry is malformed.
-    Spoilt,
+    Malformed,
 }
 
 /// A discovery service at one address.
@@ -93,7 +93,7 @@
     }
 
     /// Serves the same list at one more address.
-    pub async fn also(&self) -> std::io::Result<Discovery> {
+    pub async fn at_new_address(&self) -> std::io::Result<Discovery> {
         Discovery::listen(self.state.clone(), self.changed.clone(), self.called.clone()).await
     }
 
@@ -138,7 +138,7 @@
     }
 
     /// Injects a fault into each of the next responses.
-    pub fn befall(&self, faults: &[ListFault]) {
+    pub fn inject(&self, faults: &[ListFault]) {
         locked(&self.state).faults.extend(faults);
     }
 
@@ -153,30 +153,30 @@
     }
 
     /// Stops answering calls; they wait.
-    pub fn fall_silent(&self) {
+    pub fn stop_answering(&self) {
         locked(&self.state).silent = true;
     }
 
     /// Publishes the list as it is now from here on, however it changes.
-    pub fn hold_back(&self) {
+    pub fn pin_list(&self) {
         let mut state = locked(&self.state);
         state.pinned = Some((state.version, state.hosts.clone()));
     }
 
     /// Answers calls again, including those that wait.
-    pub fn speak(&self) {
+    pub fn resume_answering(&self) {
         locked(&self.state).silent = false;
         self.changed.notify_waiters();
     }
 
     /// Publishes the current list again.
-    pub fn catch_up(&self) {
+    pub fn unpin_list(&self) {
         locked(&self.state).pinned = None;
         self.changed.notify_waiters();
     }
 
     /// Sets the version and drops the history, as when discovery has restarted.
-    pub fn renumber(&self, version: u64) {
+    pub fn reset_version(&self, version: u64) {
         let mut state = locked(&self.state);
         state.changes.clear();
         state.version = version;
@@ -188,7 +188,7 @@
     }
 
     /// Waits until this number of calls has been received.
-    pub async fn until_called(&self, calls: usize) {
+    pub async fn wait_for_calls(&self, calls: usize) {
         loop {
             let called = self.called.notified();
             if self.calls() >= calls {
@@ -246,7 +246,7 @@
 ) -> Result<Answer, Infallible> {
     let mut list = list_response(request, &state, &changed).await;
     let fault = locked(&state).faults.pop_front();
-    if fault == Some(ListFault::Spoilt) {
+    if fault == Some(ListFault::Malformed) {
         let entries = list["instances"].as_array_mut();
         entries.into_iter().flatten().take(1).for_each(|entry| entry["lifecycle"] = json!("?"));
     }
--- a/crates/standin/src/platform/mod.rs
+++ b/crates/standin/src/platform/mod.rs
@@ -4,4 +4,4 @@
 mod relay;
 
 pub use discovery::{Discovery, ListFault};
-pub use relay::{Fault, Relay, Said};
+pub use relay::{Fault, Relay, RelayState};
--- a/crates/standin/src/platform/relay.rs
+++ b/crates/standin/src/platform/relay.rs
@@ -27,15 +27,15 @@
     /// Executed; the connection is reset in the middle of the answer.
     Reset,
     /// Executed; the answer is written byte by byte.
-    Dripped,
+    ByteByByte,
     /// Executed and answered; then the connection closes at once.
-    AndEnd,
+    AnswerThenClose,
     /// Executed; the answer is sent twice.
-    Twice,
+    Duplicated,
     /// Executed; the answer waits for [`Relay::release`].
     Held,
     /// Executed; the answer is malformed.
-    Spoilt,
+    Malformed,
     /// Refused with a throttling error.
     Throttled,
 }
@@ -67,7 +67,7 @@
 
 /// State of the relay, and counts of what it has received.
 #[derive(Default)]
-pub struct Said {
+pub struct RelayState {
     /// The slices assigned to the steward, with the owner and weight of each that has a line.
     pub rows: BTreeMap<u64, Option<(String, f64)>>,
     /// Proxies whose streams are up.
@@ -78,23 +78,23 @@
     pub calls: usize,
     pub subscriptions: usize,
     /// Fault: proxies acknowledge no marks.
-    pub mute: bool,
+    pub ignores_marks: bool,
     /// Fault: this proxy acknowledges no marks.
-    pub slow: Option<u64>,
+    pub unresponsive_proxy: Option<u64>,
     /// Classes that an order may name; empty if any may be named.
     pub classes: Vec<String>,
     /// Number of orders that were refused, each ending its call.
-    pub refused: usize,
+    pub refused_orders: usize,
     /// The highest id of a call so far, and how many calls were read after a later one. The platform executes a call
     /// within 50 ms or never. If this stand-in had to wait for its core for longer, such a call is never executed.
     latest_call: u64,
-    pub calls_too_late: usize,
+    pub late_calls: usize,
     /// Slices that an order moved from one owner to another without a revoke in between: slice, old and new owner.
     pub moved_directly: Vec<(u64, String, String)>,
     /// Fault: a subscription's connection closes after this number of lines.
     pub cut_after: Option<usize>,
     /// Fault: subscriptions receive nothing, and their connections stay open.
-    pub silent_news: bool,
+    pub silent_subscriptions: bool,
     faults: VecDeque<Fault>,
     subscribers: Vec<mpsc::Sender<Notification>>,
 }
@@ -102,14 +102,14 @@
 /// A relay at one address.
 pub struct Relay {
     pub address: SocketAddr,
-    state: Arc<Mutex<Said>>,
+    state: Arc<Mutex<RelayState>>,
     changed: Arc<Notify>,
     /// Each permit releases one held answer.
     releases: Arc<Semaphore>,
     _accept_task: JoinSet<()>,
 }
 
-fn locked(state: &Mutex<Said>) -> MutexGuard<'_, Said> {
+fn locked(state: &Mutex<RelayState>) -> MutexGuard<'_, RelayState> {
     state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
@@ -117,34 +117,34 @@
     json!({"jsonrpc": "2.0", "method": method, "params": params}).to_string()
 }
 
-impl Said {
+impl RelayState {
     /// Sends a line to all subscribers.
-    pub fn tell(&mut self, line: String) {
+    pub fn notify_subscribers(&mut self, line: String) {
         self.subscribers.retain(|subscriber| subscriber.try_send(Notification::Line(line.clone())).is_ok());
     }
 
     /// Brings up a proxy's stream and notifies the subscribers.
     pub fn join(&mut self, id: u64) {
         self.proxies.push(id);
-        self.tell(proxy_notification(id));
+        self.notify_subscribers(proxy_notification(id));
     }
 
     /// Breaks a proxy's stream and notifies the subscribers.
     pub fn leave(&mut self, id: u64) {
         self.proxies.retain(|proxy| *proxy != id);
-        self.tell(notification("CLOSED", json!({"id": id})));
+        self.notify_subscribers(notification("CLOSED", json!({"id": id})));
     }
 
     /// Withdraws a slice from the steward; returns its line.
-    pub fn take_slice(&mut self, range: u64) -> Option<(String, f64)> {
+    pub fn unassign_slice(&mut self, range: u64) -> Option<(String, f64)> {
         let row = self.rows.remove(&range).flatten();
-        self.tell(notification("GRANT", json!({"range": range, "flag": false})));
+        self.notify_subscribers(notification("GRANT", json!({"range": range, "flag": false})));
         row
     }
 
     /// Assigns a slice with this line to the steward.
-    pub fn give_slice(&mut self, range: u64, row: Option<(String, f64)>) {
-        slice_notifications(range, &row).into_iter().for_each(|line| self.tell(line));
+    pub fn assign_slice(&mut self, range: u64, row: Option<(String, f64)>) {
+        slice_notifications(range, &row).into_iter().for_each(|line| self.notify_subscribers(line));
         self.rows.insert(range, row);
     }
 
@@ -161,7 +161,7 @@
             let known = |route: &Value| self.classes.iter().any(|class| route == class);
             let mut routes = order["routes"].as_array().into_iter().flatten();
             if !self.classes.is_empty() && !routes.all(known) {
-                self.refused += 1;
+                self.refused_orders += 1;
                 return executed;
             }
             let slice = order["cluster"].as_u64();
@@ -176,11 +176,13 @@
                     *row = Some((target, order["rps"].as_f64().unwrap_or(0.0)));
                 }
                 (Some("clear"), Some(row)) => *row = None,
-                (Some("mark"), _) if !self.mute => {
-                    let slow = self.slow;
-                    for proxy in self.proxies.clone().into_iter().filter(|proxy| Some(*proxy) != slow) {
+                (Some("mark"), _) if !self.ignores_marks => {
+                    let unresponsive_proxy = self.unresponsive_proxy;
+                    for proxy in
+                        self.proxies.clone().into_iter().filter(|proxy| Some(*proxy) != unresponsive_proxy)
+                    {
                         let ack = json!({"id": proxy, "seq": order["nonce_out"], "ms": 1.0});
-                        self.tell(notification("ACK", ack));
+                        self.notify_subscribers(notification("ACK", ack));
                     }
                 }
                 _ => {}
@@ -195,12 +197,12 @@
     /// Starts a relay whose slices, from 0 on, are all assigned to the steward and have this owner.
     pub async fn start(slices: u64, owner: &str, proxies: u64) -> std::io::Result<Relay> {
         let rows = (0..slices).map(|slice| (slice, Some((owner.to_owned(), 1.0)))).collect();
-        let state = Said { rows, proxies: (0..proxies).collect(), ..Said::default() };
+        let state = RelayState { rows, proxies: (0..proxies).collect(), ..RelayState::default() };
         Relay::listen(Arc::new(Mutex::new(state)), Arc::new(Notify::new()), Arc::new(Semaphore::new(0))).await
     }
 
     async fn listen(
-        state: Arc<Mutex<Said>>,
+        state: Arc<Mutex<RelayState>>,
         changed: Arc<Notify>,
         releases: Arc<Semaphore>,
     ) -> std::io::Result<Relay> {
@@ -212,12 +214,12 @@
     }
 
     /// Serves the same state at one more address.
-    pub async fn also(&self) -> std::io::Result<Relay> {
+    pub async fn at_new_address(&self) -> std::io::Result<Relay> {
         Relay::listen(self.state.clone(), self.changed.clone(), self.releases.clone()).await
     }
 
     /// Injects a fault into each of the next calls.
-    pub fn befall(&self, faults: &[Fault]) {
+    pub fn inject(&self, faults: &[Fault]) {
         locked(&self.state).faults.extend(faults);
     }
 
@@ -227,7 +229,7 @@
     }
 
     /// Accesses the relay's state.
-    pub fn with<T>(&self, look: impl FnOnce(&mut Said) -> T) -> T {
+    pub fn with<T>(&self, look: impl FnOnce(&mut RelayState) -> T) -> T {
         look(&mut locked(&self.state))
     }
 
@@ -240,7 +242,7 @@
     }
 
     /// Waits until the condition holds.
-    pub async fn until(&self, condition: impl Fn(&Said) -> bool) {
+    pub async fn until(&self, condition: impl Fn(&RelayState) -> bool) {
         loop {
             let changed = self.changed.notified();
             if self.with(|state| condition(state)) {
@@ -253,7 +255,7 @@
 
 async fn accept(
     listener: TcpListener,
-    state: Arc<Mutex<Said>>,
+    state: Arc<Mutex<RelayState>>,
     changed: Arc<Notify>,
     releases: Arc<Semaphore>,
 ) {
@@ -278,14 +280,14 @@
             socket.write_all(&line.as_bytes()[..line.len() / 2]).await?;
             socket.set_zero_linger().map(|()| false)
         }
-        Some(Fault::AndEnd) => socket.write_all(line.as_bytes()).await.map(|()| false),
-        Some(Fault::Dripped) => {
+        Some(Fault::AnswerThenClose) => socket.write_all(line.as_bytes()).await.map(|()| false),
+        Some(Fault::ByteByByte) => {
             for byte in line.as_bytes().chunks(1) {
                 socket.write_all(byte).await?;
             }
             Ok(true)
         }
-        Some(Fault::Twice) => socket.write_all(line.repeat(2).as_bytes()).await.map(|()| true),
+        Some(Fault::Duplicated) => socket.write_all(line.repeat(2).as_bytes()).await.map(|()| true),
         Some(Fault::Held) => {
             let Ok(permit) = releases.acquire().await else { return Ok(false) };
             permit.forget();
@@ -295,7 +297,12 @@
     }
 }
 
-async fn serve(socket: TcpStream, state: Arc<Mutex<Said>>, changed: Arc<Notify>, releases: Arc<Semaphore>) {
+async fn serve(
+    socket: TcpStream,
+    state: Arc<Mutex<RelayState>>,
+    changed: Arc<Notify>,
+    releases: Arc<Semaphore>,
+) {
     let _ = socket.set_nodelay(true);
     let mut lines = Framed::new(socket, LinesCodec::new());
     while let Some(Ok(line)) = lines.next().await {
@@ -310,7 +317,7 @@
             let id = call["id"].as_u64().unwrap_or(0);
             // A restarted process counts its calls from 1.
             if id > 1 && id < state.latest_call {
-                state.calls_too_late += 1;
+                state.late_calls += 1;
                 continue;
             }
             state.latest_call = id;
@@ -326,7 +333,7 @@
         let answer = match fault {
             Some(Fault::Unanswered | Fault::Lost) => continue,
             Some(Fault::Broken) => return,
-            Some(Fault::Spoilt) => json!({"jsonrpc": "2.0", "id": id, "result": {"ok_count": "all"}}),
+            Some(Fault::Malformed) => json!({"jsonrpc": "2.0", "id": id, "result": {"ok_count": "all"}}),
             Some(Fault::Throttled) => {
                 json!({"jsonrpc": "2.0", "id": id, "error": {"code": -32000, "message": "Throttling"}})
             }
@@ -342,12 +349,12 @@
 async fn serve_subscription(
     mut lines: Framed<TcpStream, LinesCodec>,
     call: &Value,
-    state: Arc<Mutex<Said>>,
+    state: Arc<Mutex<RelayState>>,
     changed: Arc<Notify>,
 ) {
     let (subscriber, mut queue) = mpsc::channel(SUBSCRIBER_QUEUE);
     let first = json!({"jsonrpc": "2.0", "id": call["id"], "result": true}).to_string();
-    let silent = locked(&state).silent_news;
+    let silent = locked(&state).silent_subscriptions;
     if silent {
         return std::future::pending().await;
     }
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -37,7 +37,7 @@
 
 /// Faults injected into a plan server.
 #[derive(Clone, Debug, Default)]
-pub struct Ills {
+pub struct InjectedFaults {
     /// It neither reads nor answers.
     pub hung: bool,
     /// The share of reqs that fail, of one kind if that is set.
@@ -46,7 +46,7 @@
     /// Failing reqs are never answered, instead of answered at once.
     pub silent: bool,
     /// The utilisation that it reports, whatever the true one.
-    pub says: Option<f64>,
+    pub reported_util: Option<f64>,
     /// Delay before a new connection is usable.
     pub slow_connects: Time,
 }
@@ -77,7 +77,7 @@
     /// Crashed by overload; it isn't restarted.
     crashed: Cell<bool>,
     draining: Cell<bool>,
-    ills: RefCell<Ills>,
+    injected: RefCell<InjectedFaults>,
     faults_changed: Notify,
     /// Incremented when the server stops, so that jobs of an earlier incarnation are dropped.
     incarnation: Cell<u64>,
@@ -114,7 +114,7 @@
             up: Cell::new(true),
             crashed: Cell::new(false),
             draining: Cell::new(false),
-            ills: RefCell::default(),
+            injected: RefCell::default(),
             faults_changed: Notify::new(),
             incarnation: Cell::new(0),
             busy: Cell::new(0),
@@ -147,13 +147,13 @@
     }
 
     /// Replaces the injected faults.
-    pub fn set_ills(&self, ills: Ills) {
-        *self.ills.borrow_mut() = ills;
+    pub fn inject_faults(&self, injected: InjectedFaults) {
+        *self.injected.borrow_mut() = injected;
         self.faults_changed.notify_waiters();
     }
 
     /// Stops at once, dropping all reqs and connections.
-    pub fn die(&self) {
+    pub fn crash(&self) {
         if !self.up.replace(false) {
             return;
         }
@@ -166,7 +166,7 @@
     }
 
     /// Starts again, cold; does nothing if it is up or has crashed by overload.
-    pub fn revive(self: &Rc<Server>) -> io::Result<()> {
+    pub fn restart(self: &Rc<Server>) -> io::Result<()> {
         if self.up.get() || self.crashed.get() {
             return Ok(());
         }
@@ -174,16 +174,16 @@
         socket.set_reuseaddr(true)?;
         socket.bind(self.address)?;
         let listener = socket.listen(1024)?;
-        self.come_up();
+        self.start_cold();
         self.listen(listener);
         Ok(())
     }
 
     /// Becomes cold, without faults, as if it had just started.
-    pub fn come_up(&self) {
+    pub fn start_cold(&self) {
         self.up.set(true);
         self.draining.set(false);
-        *self.ills.borrow_mut() = Ills::default();
+        *self.injected.borrow_mut() = InjectedFaults::default();
         self.received_work.borrow_mut().clear();
         self.boot.set(self.capture.now());
         self.capture.note(|at| Event::Up { at, server: self.id.clone(), cold: true });
@@ -219,7 +219,7 @@
     async fn wait_while_hung(&self) {
         loop {
             let faults_changed = self.faults_changed.notified();
-            if !self.ills.borrow().hung {
+            if !self.injected.borrow().hung {
                 return;
             }
             faults_changed.await;
@@ -231,7 +231,7 @@
         let _ = socket.set_nodelay(true);
         let (read, write) = socket.into_split();
         let (answers, mut queue) = mpsc::channel::<Bytes>(1024);
-        let slow = self.ills.borrow().slow_connects;
+        let slow = self.injected.borrow().slow_connects;
         tokio::time::sleep(duration(slow)).await;
         self.wait_while_hung().await;
         let writer = async {
@@ -287,10 +287,10 @@
             }
         }
         let now = self.capture.now();
-        let ills = self.ills.borrow().clone();
-        let fails = ills.failing > 0.0
-            && ills.failing_kind.is_none_or(|failing| failing == kind)
-            && self.rng.borrow_mut().f64() < ills.failing;
+        let injected = self.injected.borrow().clone();
+        let fails = injected.failing > 0.0
+            && injected.failing_kind.is_none_or(|failing| failing == kind)
+            && self.rng.borrow_mut().f64() < injected.failing;
         let rejection = if now > start_by {
             Some(status::LATE)
         } else if self.draining.get() || self.waiting.borrow().len() >= self.model.queue {
@@ -302,8 +302,8 @@
         };
         if let Some(status) = rejection {
             let (server, req, slice, writes) = (self.id.clone(), job.req, job.slice, job.writes);
-            self.capture.note(|at| Event::Turned { at, server, req, slice, writes, forwarder, status });
-            if !(fails && ills.silent && status == status::ERRORED) {
+            self.capture.note(|at| Event::Rejected { at, server, req, slice, writes, forwarder, status });
+            if !(fails && injected.silent && status == status::ERRORED) {
                 self.answer(&job, status);
             }
             return Ok(());
@@ -311,13 +311,13 @@
         let (server, req, attempt, slice, writes) =
             (self.id.clone(), job.req, job.attempt, job.slice, job.writes);
         let until = job.finish_by;
-        self.capture.note(|at| Event::Took { at, server, req, attempt, slice, writes, forwarder, until });
+        self.capture.note(|at| Event::Accepted { at, server, req, attempt, slice, writes, forwarder, until });
         if self.exceeds_cold_capacity(now, job.work) {
-            self.capture.note(|at| Event::Fell { at, server: self.id.clone(), boot: self.boot.get() });
+            self.capture.note(|at| Event::Overloaded { at, server: self.id.clone(), boot: self.boot.get() });
             self.crashed.set(true);
             // Stopping aborts this task, so it is left to another.
             let server = self.clone();
-            spawn_local(async move { server.die() });
+            spawn_local(async move { server.crash() });
             return Ok(());
         }
         self.waiting.borrow_mut().push_back(job);
@@ -398,7 +398,7 @@
 
     fn answer(&self, job: &Job, status: u64) {
         let now = self.capture.now();
-        let util = self.ills.borrow().says.unwrap_or_else(|| self.util(now));
+        let util = self.injected.borrow().reported_util.unwrap_or_else(|| self.util(now));
         let body = Frame::new(RES)
             .numbers(tag::TRY, &[job.try_number])
             .numbers(tag::STATUS, &[status])
