--- a/crates/lab/src/faults.rs
+++ b/crates/lab/src/faults.rs
@@ -10,8 +10,8 @@
 use tokio::time::sleep;
 
 use crate::day::{Ends, FaultKind, ForwarderPause, How, Span, StewardPause};
+use crate::links::{Endpoint, Link};
 use crate::stage::Fleet;
-use crate::ways::{End, Way};
 
 /// Injects one fault and returns when it has ended.
 pub async fn inject(fleet: &Rc<Fleet>, what: &FaultKind, began: Time) -> io::Result<()> {
@@ -123,7 +123,7 @@
         }
         FaultKind::CutStreams { forwarders } => {
             let numbers = pick_forwarders(fleet, *forwarders);
-            numbers.iter().flat_map(|&number| &fleet.relays[number]).for_each(|streams| streams.cut());
+            numbers.iter().flat_map(|&number| &fleet.relays[number]).for_each(|streams| streams.close_all());
         }
         FaultKind::Isolate { forwarders, lasts } => {
             let numbers = pick_forwarders(fleet, *forwarders);
@@ -215,7 +215,8 @@
         }
         FaultKind::CutStore { lasts, which, stewards } => {
             let numbers = pick_stewards(fleet, which, *stewards);
-            let pairs: Vec<_> = numbers.into_iter().map(|n| (End::Steward(n), End::Store)).collect();
+            let pairs: Vec<_> =
+                numbers.into_iter().map(|n| (Endpoint::Steward(n), Endpoint::Store)).collect();
             close_links(fleet, &pairs, *lasts).await;
         }
         FaultKind::CutSteward { lasts, which, stewards } => {
@@ -234,9 +235,10 @@
             close_links(fleet, &all, *lasts).await;
         }
         FaultKind::Way { from, to, how, lasts } => {
-            let ends = |all: &[Ends]| all.iter().flat_map(|ends| ends_of(fleet, *ends)).collect::<Vec<End>>();
+            let ends =
+                |all: &[Ends]| all.iter().flat_map(|ends| ends_of(fleet, *ends)).collect::<Vec<Endpoint>>();
             let (from, to) = (ends(from), ends(to));
-            let links: Vec<(End, End)> =
+            let links: Vec<(Endpoint, Endpoint)> =
                 from.iter().flat_map(|&a| to.iter().map(move |&b| (a, b))).filter(|(a, b)| a != b).collect();
             fleet.links.change(links.iter().copied(), |link| apply_conditions(link, how));
             wait(*lasts).await;
@@ -353,38 +355,38 @@
 }
 
 /// All pairs of a forwarder and a steward.
-fn pairs(forwarders: &[usize], stewards: &[usize]) -> Vec<(End, End)> {
-    let pair = |f: usize| stewards.iter().map(move |&s| (End::Forwarder(f), End::Steward(s)));
+fn pairs(forwarders: &[usize], stewards: &[usize]) -> Vec<(Endpoint, Endpoint)> {
+    let pair = |f: usize| stewards.iter().map(move |&s| (Endpoint::Forwarder(f), Endpoint::Steward(s)));
     forwarders.iter().flat_map(|&f| pair(f)).collect()
 }
 
 /// Expands the endpoints named in a day file.
-fn ends_of(fleet: &Fleet, ends: Ends) -> Vec<End> {
+fn ends_of(fleet: &Fleet, ends: Ends) -> Vec<Endpoint> {
     match ends {
-        Ends::Store => vec![End::Store],
-        Ends::Stewards(Some(n)) => vec![End::Steward(n)],
-        Ends::Forwarders(Some(n)) => vec![End::Forwarder(n)],
-        Ends::Stewards(None) => all_stewards(fleet).into_iter().map(End::Steward).collect(),
-        Ends::Forwarders(None) => all_forwarders(fleet).into_iter().map(End::Forwarder).collect(),
+        Ends::Store => vec![Endpoint::Store],
+        Ends::Stewards(Some(n)) => vec![Endpoint::Steward(n)],
+        Ends::Forwarders(Some(n)) => vec![Endpoint::Forwarder(n)],
+        Ends::Stewards(None) => all_stewards(fleet).into_iter().map(Endpoint::Steward).collect(),
+        Ends::Forwarders(None) => all_forwarders(fleet).into_iter().map(Endpoint::Forwarder).collect(),
     }
 }
 
 /// Closes links in both directions for a time. Where faults overlap, the last to end reopens them.
-async fn close_links(fleet: &Fleet, pairs: &[(End, End)], lasts: Span) {
-    fleet.links.change_between(pairs.iter().copied(), |link| link.closed += 1);
+async fn close_links(fleet: &Fleet, pairs: &[(Endpoint, Endpoint)], lasts: Span) {
+    fleet.links.change_both_directions(pairs.iter().copied(), |link| link.closed += 1);
     sleep(duration(lasts.0)).await;
-    fleet.links.change_between(pairs.iter().copied(), |link| link.closed -= 1);
+    fleet.links.change_both_directions(pairs.iter().copied(), |link| link.closed -= 1);
 }
 
 /// Holds back what crosses links in one direction for a time.
-async fn cut_links(fleet: &Fleet, links: &[(End, End)], lasts: Span) {
+async fn cut_links(fleet: &Fleet, links: &[(Endpoint, Endpoint)], lasts: Span) {
     fleet.links.change(links.iter().copied(), |link| link.cut += 1);
     sleep(duration(lasts.0)).await;
     fleet.links.change(links.iter().copied(), |link| link.cut -= 1);
 }
 
 /// Applies conditions to a link. Cuts and closes of several faults add up; other conditions replace earlier ones.
-fn apply_conditions(link: &mut Way, how: &How) {
+fn apply_conditions(link: &mut Link, how: &How) {
     link.cut += usize::from(how.cut);
     link.closed += usize::from(how.closed);
     if how.lost > 0.0 {
@@ -396,11 +398,11 @@
     if how.late.0 > 0 {
         link.late = duration(how.late.0);
     }
-    link.pace = how.bytes_per_s.or(link.pace);
+    link.bytes_per_s = how.bytes_per_s.or(link.bytes_per_s);
 }
 
 /// Undoes [`apply_conditions`]. Where faults overlap, the first to end restores loss, duplicates, delay and bandwidth.
-fn restore_conditions(link: &mut Way, how: &How, baseline: &Way) {
+fn restore_conditions(link: &mut Link, how: &How, baseline: &Link) {
     link.cut -= usize::from(how.cut);
     link.closed -= usize::from(how.closed);
     if how.lost > 0.0 {
@@ -412,7 +414,7 @@
     if how.late.0 > 0 {
         link.late = baseline.late;
     }
-    link.pace = link.pace.filter(|_| how.bytes_per_s.is_none());
+    link.bytes_per_s = link.bytes_per_s.filter(|_| how.bytes_per_s.is_none());
 }
 
 /// Returns the stewards named, or else picks some at random from the day's seed.
--- a/crates/lab/src/fleet/day.rs
+++ b/crates/lab/src/fleet/day.rs
@@ -169,7 +169,7 @@
 
 impl FleetDay {
     /// Returns true if the file holds a day of this kind.
-    pub fn is_one(path: &Path) -> bool {
+    pub fn recognizes(path: &Path) -> bool {
         crate::day::has(path, "fleet")
     }
 
--- a/crates/lab/src/fleet/judge.rs
+++ b/crates/lab/src/fleet/judge.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::day::FleetDay;
-use crate::ways::SentDatagram;
+use crate::links::SentDatagram;
 
 /// The view that a steward showed at one time.
 #[derive(Clone, Debug)]
--- a/crates/lab/src/fleet/measure.rs
+++ b/crates/lab/src/fleet/measure.rs
@@ -9,10 +9,10 @@
 use super::day::{Bounds, FleetDay, FleetSettings};
 use super::play::Fleet;
 use crate::day::Span;
+use crate::links::Endpoint;
 use crate::measure::quantiles;
 use crate::processes::Process;
 use crate::stage::Fault;
-use crate::ways::End;
 
 /// Seconds without changes over which the idle load is measured.
 const IDLE_S: u64 = 20;
@@ -78,13 +78,13 @@
             joins.push(seconds(fleet.datagrams.now() - from));
             let (side, rest) = all.split_at(count / 2);
             let apart = || {
-                let pair = |a: usize| rest.iter().map(move |&b| (End::Steward(a), End::Steward(b)));
+                let pair = |a: usize| rest.iter().map(move |&b| (Endpoint::Steward(a), Endpoint::Steward(b)));
                 side.iter().flat_map(move |&a| pair(a))
             };
-            fleet.ways.change_between(apart(), |way| way.cut += 1);
+            fleet.links.change_both_directions(apart(), |link| link.cut += 1);
             sleep(Duration::from_secs(12)).await;
             let from = fleet.datagrams.now();
-            fleet.ways.change_between(apart(), |way| way.cut -= 1);
+            fleet.links.change_both_directions(apart(), |link| link.cut -= 1);
             converged(&fleet, &all).await?;
             heals.push(seconds(fleet.datagrams.now() - from));
         }
--- a/crates/lab/src/fleet/play.rs
+++ b/crates/lab/src/fleet/play.rs
@@ -14,9 +14,9 @@
 use super::day::{FaultKind, FleetDay, ScheduledFault};
 use super::judge::{judge, Checkpoint, Verdict, ViewSample};
 use super::waits::CpuWaits;
+use crate::links::{make_key, DatagramProxy, Endpoint, Link, Links};
 use crate::processes::{send, Process};
 use crate::stage::Fault;
-use crate::ways::{make_key, Datagrams, End, Way, Ways};
 
 /// Interval between two queries of a steward's view.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
@@ -28,8 +28,8 @@
 pub struct Fleet {
     day: FleetDay,
     dir: PathBuf,
-    pub ways: Rc<Ways>,
-    pub datagrams: Rc<Datagrams>,
+    pub links: Rc<Links>,
+    pub datagrams: Rc<DatagramProxy>,
     pub processes: RefCell<Vec<Option<Process>>>,
     /// How often each steward was started.
     starts: RefCell<Vec<u64>>,
@@ -93,15 +93,15 @@
             dir.join("servers.yaml"),
             "servers:\n  - {id: a, zone: z, address: \"127.0.0.1:9\"}\n",
         )?;
-        let ways = Ways::new(day.seed, Way { loss: day.fleet.loss, ..Way::default() });
-        let datagrams = Datagrams::open(&ways, count, true).await?;
+        let links = Links::new(day.seed, Link { loss: day.fleet.loss, ..Link::default() });
+        let datagrams = DatagramProxy::open(&links, count, true).await?;
         // Bound until all are chosen, so that no port is chosen twice; nothing answers there.
         let dead_seeds = (0..day.fleet.dead_seeds).map(|_| std::net::UdpSocket::bind("127.0.0.1:0"));
         let dead_seeds: Vec<std::net::UdpSocket> = dead_seeds.collect::<Result<_, _>>()?;
         let fleet = Rc::new(Fleet {
             dead_seeds: dead_seeds.iter().map(std::net::UdpSocket::local_addr).collect::<Result<_, _>>()?,
             dir: dir.to_owned(),
-            ways,
+            links,
             datagrams,
             processes: RefCell::new((0..count).map(|_| None).collect()),
             starts: RefCell::new(vec![0; count]),
@@ -133,7 +133,7 @@
 
     /// Starts a steward.
     pub async fn start(&self, n: usize) -> Result<(), Fault> {
-        self.datagrams.started(n, async || self.try_start(n).await).await
+        self.datagrams.start_with_free_port(n, async || self.try_start(n).await).await
     }
 
     async fn try_start(&self, n: usize) -> Result<(), Fault> {
@@ -254,9 +254,9 @@
             let mut at = 0;
             while at < group.len() {
                 let from = group[at];
-                let (found, rest): (Vec<usize>, Vec<usize>) = remaining
-                    .iter()
-                    .partition(|&&n| self.ways.open_between(End::Steward(from), End::Steward(n)));
+                let (found, rest): (Vec<usize>, Vec<usize>) = remaining.iter().partition(|&&n| {
+                    self.links.is_open_between(Endpoint::Steward(from), Endpoint::Steward(n))
+                });
                 group.extend(found);
                 remaining = rest;
                 at += 1;
@@ -345,34 +345,36 @@
                 }
                 for n in stewards {
                     if moved {
-                        self.datagrams.move_on(n).await?;
+                        self.datagrams.move_to_new_address(n).await?;
                     }
                     self.start(n).await?;
                 }
             }
             Step::Begin(FaultKind::Split { side, .. }) => {
                 let apart = self.pairs(|a, b| side.contains(&a) != side.contains(&b));
-                self.ways.change(apart, |way| way.cut += 1);
+                self.links.change(apart, |link| link.cut += 1);
             }
             Step::Finish(FaultKind::Split { side, .. }) => {
                 let apart = self.pairs(|a, b| side.contains(&a) != side.contains(&b));
-                self.ways.change(apart, |way| way.cut -= 1);
+                self.links.change(apart, |link| link.cut -= 1);
             }
             Step::Begin(FaultKind::Cut { from, to, .. }) => {
-                self.ways.change(self.pairs(|a, b| from.contains(&a) && to.contains(&b)), |way| way.cut += 1);
+                self.links
+                    .change(self.pairs(|a, b| from.contains(&a) && to.contains(&b)), |link| link.cut += 1);
             }
             Step::Finish(FaultKind::Cut { from, to, .. }) => {
-                self.ways.change(self.pairs(|a, b| from.contains(&a) && to.contains(&b)), |way| way.cut -= 1);
+                self.links
+                    .change(self.pairs(|a, b| from.contains(&a) && to.contains(&b)), |link| link.cut -= 1);
             }
             Step::Begin(FaultKind::Lose { stewards, share, late, .. }) => {
                 let late = Duration::from_micros(late.0 as u64 * 100);
                 let of = self.pairs(|a, b| stewards.contains(&a) || stewards.contains(&b));
-                self.ways.change(of, |way| (way.loss, way.late) = (share, late));
+                self.links.change(of, |link| (link.loss, link.late) = (share, late));
             }
             Step::Finish(FaultKind::Lose { stewards, .. }) => {
                 let loss = self.day.fleet.loss;
                 let of = self.pairs(|a, b| stewards.contains(&a) || stewards.contains(&b));
-                self.ways.change(of, |way| (way.loss, way.late) = (loss, Duration::ZERO));
+                self.links.change(of, |link| (link.loss, link.late) = (loss, Duration::ZERO));
             }
             Step::Begin(FaultKind::Stop { stewards, .. }) => self.signal(&stewards, true).await,
             Step::Finish(FaultKind::Stop { stewards, .. }) => self.signal(&stewards, false).await,
@@ -416,12 +418,12 @@
     }
 
     /// Ordered pairs of stewards that satisfy the predicate.
-    fn pairs(&self, predicate: impl Fn(usize, usize) -> bool) -> Vec<(End, End)> {
+    fn pairs(&self, predicate: impl Fn(usize, usize) -> bool) -> Vec<(Endpoint, Endpoint)> {
         let all = 0..self.day.fleet.stewards;
         let pairs = all.clone().flat_map(|a| all.clone().map(move |b| (a, b)));
         pairs
             .filter(|&(a, b)| a != b && predicate(a, b))
-            .map(|(a, b)| (End::Steward(a), End::Steward(b)))
+            .map(|(a, b)| (Endpoint::Steward(a), Endpoint::Steward(b)))
             .collect()
     }
 
--- a/crates/lab/src/ways/datagrams.rs
+++ b/crates/lab/src/links/datagrams.rs
@@ -11,7 +11,7 @@
 use tokio::net::UdpSocket;
 use tokio::task::spawn_local;
 
-use super::{End, Ways};
+use super::{Endpoint, Links};
 
 /// The lab's socket for a steward and the address at which the steward itself listens.
 #[derive(Clone)]
@@ -33,8 +33,8 @@
 }
 
 /// The proxy for all datagrams between the stewards of a day.
-pub struct Datagrams {
-    ways: Rc<Ways>,
+pub struct DatagramProxy {
+    links: Rc<Links>,
     sockets: RefCell<Vec<StewardSocket>>,
     /// Numbers of stewards by the addresses they listen at, including earlier ones.
     steward_by_addr: RefCell<BTreeMap<SocketAddr, usize>>,
@@ -47,11 +47,15 @@
     began: std::time::Instant,
 }
 
-impl Datagrams {
+impl DatagramProxy {
     /// Opens the sockets for all stewards. With `keep_log`, each datagram is logged for the judge.
-    pub async fn open(ways: &Rc<Ways>, stewards: usize, keep_log: bool) -> std::io::Result<Rc<Datagrams>> {
-        let datagrams = Rc::new(Datagrams {
-            ways: ways.clone(),
+    pub async fn open(
+        links: &Rc<Links>,
+        stewards: usize,
+        keep_log: bool,
+    ) -> std::io::Result<Rc<DatagramProxy>> {
+        let datagrams = Rc::new(DatagramProxy {
+            links: links.clone(),
             sockets: RefCell::default(),
             steward_by_addr: RefCell::default(),
             log: keep_log.then(RefCell::default),
@@ -66,7 +70,7 @@
         Ok(datagrams)
     }
 
-    async fn open_socket(self: &Rc<Datagrams>, n: usize) -> std::io::Result<StewardSocket> {
+    async fn open_socket(self: &Rc<DatagramProxy>, n: usize) -> std::io::Result<StewardSocket> {
         let socket = Rc::new(UdpSocket::bind("127.0.0.1:0").await?);
         let advertised = socket.local_addr()?;
         // A port that the system has just found free; the steward binds it at once.
@@ -78,7 +82,7 @@
     }
 
     /// Gives the steward a new address. Datagrams to the old one are lost.
-    pub async fn move_on(self: &Rc<Datagrams>, n: usize) -> std::io::Result<()> {
+    pub async fn move_to_new_address(self: &Rc<DatagramProxy>, n: usize) -> std::io::Result<()> {
         let steward = self.open_socket(n).await?;
         self.sockets.borrow_mut()[n] = steward;
         Ok(())
@@ -95,7 +99,7 @@
 
     /// Starts a steward by `start`, which is called again with another port each time it fails: another process may have taken
     /// the port by then.
-    pub async fn started<T, E: From<std::io::Error>>(
+    pub async fn start_with_free_port<T, E: From<std::io::Error>>(
         &self,
         n: usize,
         start: impl AsyncFn() -> Result<T, E>,
@@ -112,7 +116,7 @@
     }
 
     /// Relays all datagrams that arrive at the socket for steward `to`.
-    async fn relay(self: Rc<Datagrams>, to: usize, socket: &Rc<UdpSocket>) {
+    async fn relay(self: Rc<DatagramProxy>, to: usize, socket: &Rc<UdpSocket>) {
         let advertised = socket.local_addr().ok();
         let mut buffer = [0; 512];
         loop {
@@ -124,21 +128,21 @@
                 log.borrow_mut().push(SentDatagram { at: self.now(), from, to, bytes: length });
             }
             let steward = self.sockets.borrow()[to].clone();
-            let way = self.ways.state(End::Steward(from), End::Steward(to));
-            let closed = way.cut + way.closed > 0 || Some(steward.advertised) != advertised;
-            if closed || self.ways.happens(way.loss) {
+            let link = self.links.state(Endpoint::Steward(from), Endpoint::Steward(to));
+            let closed = link.cut + link.closed > 0 || Some(steward.advertised) != advertised;
+            if closed || self.links.happens(link.loss) {
                 self.lost.set(self.lost.get() + 1);
                 continue;
             }
             let source = self.sockets.borrow()[from].socket.clone();
-            let copies = 1 + usize::from(self.ways.happens(way.doubled));
+            let copies = 1 + usize::from(self.links.happens(link.doubled));
             for _ in 0..copies {
-                if way.late.is_zero() {
+                if link.late.is_zero() {
                     // As on a network, a datagram is lost if the receiver's buffer is full.
                     let _ = source.try_send_to(&buffer[..length], steward.listen);
                     continue;
                 }
-                let (late, datagram) = (self.ways.random_delay(way.late), buffer[..length].to_vec());
+                let (late, datagram) = (self.links.random_delay(link.late), buffer[..length].to_vec());
                 let source = source.clone();
                 spawn_local(async move {
                     tokio::time::sleep(late).await;
--- a/crates/lab/src/ways/mod.rs
+++ b/crates/lab/src/links/mod.rs
@@ -13,12 +13,12 @@
 
 use tokio::sync::Notify;
 
-pub use datagrams::{make_key, Datagrams, SentDatagram};
-pub use streams::{Seen, Streams};
+pub use datagrams::{make_key, DatagramProxy, SentDatagram};
+pub use streams::{StreamEvent, StreamProxy};
 
 /// An endpoint of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum End {
+pub enum Endpoint {
     Steward(usize),
     Forwarder(usize),
     Store,
@@ -30,7 +30,7 @@
 
 /// The state of a link in one direction.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Way {
+pub struct Link {
     /// The number of cuts in effect: while there are any, nothing passes. An open stream stays open without traffic, as if its
     /// endpoints kept retransmitting until one of them gives up; new connections wait.
     pub cut: usize,
@@ -43,14 +43,14 @@
     /// The longest random delay of a piece. It reorders datagrams but not streams.
     pub late: Duration,
     /// Throughput limit in bytes per second, if any.
-    pub pace: Option<u32>,
+    pub bytes_per_s: Option<u32>,
 }
 
 /// All links of a day.
-pub struct Ways {
-    ways: RefCell<BTreeMap<(End, End), Way>>,
+pub struct Links {
+    links: RefCell<BTreeMap<(Endpoint, Endpoint), Link>>,
     /// State of a link between two stewards without an injected fault. All other links have no loss or delay then.
-    baseline: Way,
+    baseline: Link,
     /// Notified after each change of a link.
     changed: Notify,
     rng: RefCell<fastrand::Rng>,
@@ -58,10 +58,10 @@
     next_stream: Cell<u64>,
 }
 
-impl Ways {
-    pub fn new(seed: u64, baseline: Way) -> Rc<Ways> {
-        Rc::new(Ways {
-            ways: RefCell::default(),
+impl Links {
+    pub fn new(seed: u64, baseline: Link) -> Rc<Links> {
+        Rc::new(Links {
+            links: RefCell::default(),
             baseline,
             changed: Notify::new(),
             rng: RefCell::new(fastrand::Rng::with_seed(seed)),
@@ -70,41 +70,45 @@
     }
 
     /// The state of a link without an injected fault.
-    pub fn baseline(&self, from: End, to: End) -> Way {
+    pub fn baseline(&self, from: Endpoint, to: Endpoint) -> Link {
         match (from, to) {
-            (End::Steward(_), End::Steward(_)) => self.baseline,
-            _ => Way::default(),
+            (Endpoint::Steward(_), Endpoint::Steward(_)) => self.baseline,
+            _ => Link::default(),
         }
     }
 
     /// The present state of a link.
-    pub fn state(&self, from: End, to: End) -> Way {
-        let changed_link = self.ways.borrow().get(&(from, to)).copied();
+    pub fn state(&self, from: Endpoint, to: Endpoint) -> Link {
+        let changed_link = self.links.borrow().get(&(from, to)).copied();
         changed_link.unwrap_or_else(|| self.baseline(from, to))
     }
 
     /// Changes links, each in the given direction only.
-    pub fn change(&self, ways: impl IntoIterator<Item = (End, End)>, change: impl Fn(&mut Way)) {
-        for (from, to) in ways {
+    pub fn change(&self, links: impl IntoIterator<Item = (Endpoint, Endpoint)>, change: impl Fn(&mut Link)) {
+        for (from, to) in links {
             let baseline = self.baseline(from, to);
-            change(self.ways.borrow_mut().entry((from, to)).or_insert(baseline));
+            change(self.links.borrow_mut().entry((from, to)).or_insert(baseline));
         }
         self.changed.notify_waiters();
     }
 
     /// Changes both directions of the links between these pairs.
-    pub fn change_between(&self, pairs: impl IntoIterator<Item = (End, End)>, change: impl Fn(&mut Way)) {
+    pub fn change_both_directions(
+        &self,
+        pairs: impl IntoIterator<Item = (Endpoint, Endpoint)>,
+        change: impl Fn(&mut Link),
+    ) {
         self.change(pairs.into_iter().flat_map(|(a, b)| [(a, b), (b, a)]), change);
     }
 
     /// Returns true if the link is open in both directions.
-    pub fn open_between(&self, a: End, b: End) -> bool {
-        let open = |way: Way| way.cut == 0 && way.closed == 0;
+    pub fn is_open_between(&self, a: Endpoint, b: Endpoint) -> bool {
+        let open = |link: Link| link.cut == 0 && link.closed == 0;
         open(self.state(a, b)) && open(self.state(b, a))
     }
 
     /// Waits until the condition holds.
-    async fn wait_until(&self, condition: impl Fn(&Ways) -> bool) {
+    async fn wait_until(&self, condition: impl Fn(&Links) -> bool) {
         loop {
             // Registered before the check, so that no change in between is missed.
             let changed = self.changed.notified();
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -4,6 +4,7 @@
 mod faults;
 mod fleet;
 mod judge;
+mod links;
 mod listing;
 mod measure;
 mod measure_sharing;
@@ -12,7 +13,6 @@
 mod random_faults;
 mod soak;
 mod stage;
-mod ways;
 mod work;
 
 use ravenspar::print_line;
@@ -245,7 +245,7 @@
 
 /// Plays a day of any kind and judges it. Returns true if it kept all rules.
 fn run_day(file: &Path, keep: Option<PathBuf>, seed: Option<u64>) -> Result<bool, Fault> {
-    if fleet::FleetDay::is_one(file) {
+    if fleet::FleetDay::recognizes(file) {
         let mut day = fleet::FleetDay::load(file).map_err(Fault::Input)?;
         day.seed = seed.unwrap_or(day.seed);
         return in_folder(keep, |dir| {
@@ -255,7 +255,7 @@
             Ok(verdict.kept())
         });
     }
-    if work::WorkDay::is_one(file) {
+    if work::WorkDay::recognizes(file) {
         let mut day = work::WorkDay::load(file).map_err(Fault::Input)?;
         day.seed = seed.unwrap_or(day.seed);
         return in_folder(keep, |dir| {
@@ -317,7 +317,7 @@
     if !is_valid {
         return Err(Fault::Input("soak: expected more than 0 minutes, and 1 to 64 days at once".to_owned()));
     }
-    match (fleet::FleetDay::is_one(file), work::WorkDay::is_one(file)) {
+    match (fleet::FleetDay::recognizes(file), work::WorkDay::recognizes(file)) {
         (true, _) => _ = fleet::FleetDay::load(file).map_err(Fault::Input)?,
         (_, true) => _ = work::WorkDay::load(file).map_err(Fault::Input)?,
         _ => _ = Day::load(file).map_err(Fault::Input)?,
--- a/crates/lab/src/measure_sharing.rs
+++ b/crates/lab/src/measure_sharing.rs
@@ -14,10 +14,10 @@
 use ravenspar_standin::store::Store;
 use tokio::task::spawn_local;
 
+use crate::links::{make_key, DatagramProxy, Link, Links};
 use crate::measure::{quantiles, run_stream, wait_until, write_server_list};
 use crate::processes::Process;
 use crate::stage::Fault;
-use crate::ways::{make_key, Datagrams, Way, Ways};
 
 const SERVERS: usize = 60;
 const FORWARDERS: usize = 12;
@@ -167,12 +167,12 @@
     stewards: Vec<Option<Process>>,
     addresses: Rc<RefCell<Vec<Option<std::net::SocketAddr>>>>,
     received: Shared,
-    datagrams: Option<Rc<Datagrams>>,
+    datagrams: Option<Rc<DatagramProxy>>,
 }
 
 impl TestBed {
     /// `view`: conditions of the links by which the stewards keep a view; `None` for no view.
-    async fn start(stewards: usize, slices: usize, view: Option<Way>) -> Result<TestBed, Fault> {
+    async fn start(stewards: usize, slices: usize, view: Option<Link>) -> Result<TestBed, Fault> {
         let dir = tempfile::tempdir()?;
         write_server_list(dir.path(), SERVERS, &[])?;
         let store = Store::new(1);
@@ -180,7 +180,7 @@
         let mut datagrams = None;
         if let Some(baseline) = view {
             make_key(dir.path())?;
-            datagrams = Some(Datagrams::open(&Ways::new(1, baseline), stewards, false).await?);
+            datagrams = Some(DatagramProxy::open(&Links::new(1, baseline), stewards, false).await?);
         }
         for steward in 0..stewards {
             let view =
@@ -309,7 +309,7 @@
     let runs = stewards.iter().flat_map(|&count| slices.iter().map(move |&slices| (count, slices)));
     for (count, slices) in runs {
         for view in [false, true] {
-            let mut bed = TestBed::start(count, slices, view.then(Way::default)).await?;
+            let mut bed = TestBed::start(count, slices, view.then(Link::default)).await?;
             let (mut until_write, mut gaps) = (Vec::new(), Vec::new());
             let (mut asked, mut joins, mut leaves) = (0, Vec::new(), Vec::new());
             let (before, began) = (bed.store.requests(), Instant::now());
@@ -376,9 +376,9 @@
     ));
     print_line("\n| view | left to in charge | without writes |");
     print_line("| --- | ---: | ---: |");
-    let bad_link = Way { loss: 0.3, doubled: 0.1, late: Duration::from_millis(25), ..Way::default() };
+    let bad_link = Link { loss: 0.3, doubled: 0.1, late: Duration::from_millis(25), ..Link::default() };
     let views =
-        [("no", None), ("yes", Some(Way::default())), ("yes, 30% lost, doubled, late", Some(bad_link))];
+        [("no", None), ("yes", Some(Link::default())), ("yes, 30% lost, doubled, late", Some(bad_link))];
     for (name, view) in views {
         let mut bed = TestBed::start(stewards, slices, view).await?;
         let (mut waits, mut gaps) = (Vec::new(), Vec::new());
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -34,7 +34,7 @@
     std::fs::create_dir_all(keep)?;
     let mut playing: VecDeque<(u64, PathBuf, Instant, Child)> = VecDeque::new();
     let (mut next_seed, mut totals) = (seed, Totals::default());
-    let has_verdict = FleetDay::is_one(file) || WorkDay::is_one(file);
+    let has_verdict = FleetDay::recognizes(file) || WorkDay::recognizes(file);
     print_line(if has_verdict {
         "| seed | s | verdict |"
     } else {
--- a/crates/lab/src/stage.rs
+++ b/crates/lab/src/stage.rs
@@ -17,9 +17,9 @@
 
 use crate::day::Day;
 use crate::judge::Rules;
+use crate::links::{make_key, DatagramProxy, Endpoint, Link, Links, StreamEvent, StreamProxy};
 use crate::listing::Listing;
 use crate::processes::Process;
-use crate::ways::{make_key, Datagrams, End, Seen, Streams, Way, Ways};
 
 /// Why a command failed.
 pub enum Fault {
@@ -42,16 +42,16 @@
     pub capture: Capture,
     pub servers: RefCell<Vec<Rc<Server>>>,
     pub listing: Listing,
-    pub links: Rc<Ways>,
+    pub links: Rc<Links>,
     /// Streams of forwarders to stewards, by forwarder and steward.
-    pub relays: Vec<Vec<Rc<Streams>>>,
+    pub relays: Vec<Vec<Rc<StreamProxy>>>,
     pub forwarders: Vec<tokio::sync::Mutex<Option<Process>>>,
     pub stewards: Vec<tokio::sync::Mutex<Option<Process>>>,
     pub store: Option<Store>,
     /// `None` unless the stewards keep a view of the fleet.
-    datagrams: Option<Rc<Datagrams>>,
+    datagrams: Option<Rc<DatagramProxy>>,
     /// Streams of each steward to the store.
-    store_links: Vec<Rc<Streams>>,
+    store_links: Vec<Rc<StreamProxy>>,
     pub clients: Rc<Clients>,
     pub rng: RefCell<fastrand::Rng>,
     /// Where each steward listens now.
@@ -97,21 +97,21 @@
         let clock = Clock::default();
         let capture = Capture::create(&dir.join("capture.jsonl"), clock)?;
         let steward_addresses: Vec<_> = (0..day.stewards()).map(|_| Rc::new(Cell::new(None))).collect();
-        let baseline = Way {
+        let baseline = Link {
             loss: day.datagrams.lost,
             doubled: day.datagrams.doubled,
             late: duration(day.datagrams.late.0),
-            ..Way::default()
+            ..Link::default()
         };
-        let links = Ways::new(day.seed, baseline);
+        let links = Links::new(day.seed, baseline);
         let mut relays = Vec::new();
         for forwarder in 0..day.forwarders.count {
             let mut own = Vec::new();
             for (steward, target) in steward_addresses.iter().enumerate() {
-                let ends = (End::Forwarder(forwarder), End::Steward(steward));
+                let ends = (Endpoint::Forwarder(forwarder), Endpoint::Steward(steward));
                 let watch = frame_recorder(&capture, steward);
                 own.push(
-                    Streams::listen(&links, ends, target.clone(), || codec(MAX_BODY_FROM_STEWARD), watch)
+                    StreamProxy::listen(&links, ends, target.clone(), || codec(MAX_BODY_FROM_STEWARD), watch)
                         .await?,
                 );
             }
@@ -123,9 +123,9 @@
         if let Some(store) = &store {
             let address = Rc::new(Cell::new(Some(store.listen().await?)));
             for steward in 0..steward_addresses.len() {
-                let ends = (End::Steward(steward), End::Store);
+                let ends = (Endpoint::Steward(steward), Endpoint::Store);
                 store_links.push(
-                    Streams::listen(&links, ends, address.clone(), BytesCodec::new, Rc::new(|_, _| ()))
+                    StreamProxy::listen(&links, ends, address.clone(), BytesCodec::new, Rc::new(|_, _| ()))
                         .await?,
                 );
             }
@@ -133,7 +133,7 @@
         let mut datagrams = None;
         if day.view && store.is_some() {
             make_key(dir)?;
-            datagrams = Some(Datagrams::open(&links, steward_addresses.len(), false).await?);
+            datagrams = Some(DatagramProxy::open(&links, steward_addresses.len(), false).await?);
         }
         let timeout = |k: usize| {
             let kinds = day.steward.get("kinds").and_then(|kinds| kinds.get(k));
@@ -220,7 +220,9 @@
         let first = !self.dir.join(format!("{name}.log")).exists();
         let process = match &self.datagrams {
             Some(datagrams) => {
-                datagrams.started(number, async || self.spawn_steward(number, &name, first).await).await?
+                datagrams
+                    .start_with_free_port(number, async || self.spawn_steward(number, &name, first).await)
+                    .await?
             }
             None => self.spawn_steward(number, &name, first).await?,
         };
@@ -368,14 +370,14 @@
 }
 
 /// Returns an observer that notes in the capture what crosses between a forwarder and a steward.
-fn frame_recorder(capture: &Capture, steward: usize) -> Rc<dyn Fn(u64, Seen)> {
+fn frame_recorder(capture: &Capture, steward: usize) -> Rc<dyn Fn(u64, StreamEvent)> {
     let capture = capture.clone();
     Rc::new(move |stream, seen| match seen {
-        Seen::Opened => capture.note(|at| Event::Opened { at, stream, steward }),
-        Seen::Piece { up, bytes } => {
+        StreamEvent::Opened => capture.note(|at| Event::Opened { at, stream, steward }),
+        StreamEvent::Piece { up, bytes } => {
             let body = hex(bytes);
             capture.note(|at| Event::Frame { at, stream, down: !up, body });
         }
-        Seen::Shut => capture.note(|at| Event::Closed { at, stream }),
+        StreamEvent::Closed => capture.note(|at| Event::Closed { at, stream }),
     })
 }
--- a/crates/lab/src/work/day.rs
+++ b/crates/lab/src/work/day.rs
@@ -292,7 +292,7 @@
 
 impl WorkDay {
     /// Returns true if the file holds a day of this kind.
-    pub fn is_one(path: &Path) -> bool {
+    pub fn recognizes(path: &Path) -> bool {
         crate::day::has(path, "work")
     }
 
--- a/crates/lab/src/work/faults.rs
+++ b/crates/lab/src/work/faults.rs
@@ -10,9 +10,9 @@
 use super::day::{FaultKind, ScheduledFault};
 use super::play::{Fleet, InjectedFault, PREFIX};
 use crate::day::Span;
+use crate::links::Endpoint;
 use crate::processes::send;
 use crate::stage::Fault;
-use crate::ways::End;
 
 /// A process that a fault is injected into.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -88,17 +88,17 @@
     }
 
     /// Resolves names and roles to endpoints of links.
-    fn endpoints(&self, names: &[String]) -> Vec<End> {
-        let mut endpoints: Vec<End> = self
+    fn endpoints(&self, names: &[String]) -> Vec<Endpoint> {
+        let mut endpoints: Vec<Endpoint> = self
             .resolve(names)
             .into_iter()
             .map(|target| match target {
-                Target::Steward(n) => End::Steward(n),
-                Target::Site(n) => End::Agent(n),
+                Target::Steward(n) => Endpoint::Steward(n),
+                Target::Site(n) => Endpoint::Agent(n),
             })
             .collect();
-        endpoints.extend(names.iter().filter(|name| *name == "store").map(|_| End::Store));
-        endpoints.extend(names.iter().filter(|name| *name == "effects").map(|_| End::Effects));
+        endpoints.extend(names.iter().filter(|name| *name == "store").map(|_| Endpoint::Store));
+        endpoints.extend(names.iter().filter(|name| *name == "effects").map(|_| Endpoint::Effects));
         endpoints
     }
 
@@ -212,16 +212,17 @@
                 }
                 self.record_fault(&format!("cut from {to:?}"), &self.resolve(&from), lasts.0);
                 self.record_fault(&format!("cut from {from:?}"), &self.resolve(&to), lasts.0);
-                self.ways.change(pairs.iter().copied(), |way| way.cut += 1);
+                self.links.change(pairs.iter().copied(), |link| link.cut += 1);
                 sleep(duration(lasts.0)).await;
-                self.ways.change(pairs.iter().copied(), |way| way.cut -= 1);
+                self.links.change(pairs.iter().copied(), |link| link.cut -= 1);
             }
             FaultKind::Slow { from, to, late, lasts } => {
                 let (a, b) = (self.endpoints(&from), self.endpoints(&to));
                 let pairs: Vec<_> = a.iter().flat_map(|a| b.iter().map(|b| (*a, *b))).collect();
-                self.ways.change_between(pairs.iter().copied(), |way| way.late = duration(late.0));
+                self.links.change_both_directions(pairs.iter().copied(), |link| link.late = duration(late.0));
                 sleep(duration(lasts.0)).await;
-                self.ways.change_between(pairs.iter().copied(), |way| way.late = Default::default());
+                self.links
+                    .change_both_directions(pairs.iter().copied(), |link| link.late = Default::default());
             }
             FaultKind::Away { lasts } => {
                 self.record_fault(
--- a/crates/lab/src/work/play.rs
+++ b/crates/lab/src/work/play.rs
@@ -20,9 +20,9 @@
 use super::day::WorkDay;
 use super::judge::{judge, Observations};
 use crate::fleet::Verdict;
+use crate::links::{Endpoint, Link, Links, StreamProxy};
 use crate::processes::Process;
 use crate::stage::Fault;
-use crate::ways::{End, Streams, Way, Ways};
 
 /// How long the fleet may take to start; generous because the machine may be busy with other work.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(60);
@@ -44,7 +44,7 @@
 pub struct Fleet {
     pub day: WorkDay,
     pub dir: PathBuf,
-    pub ways: Rc<Ways>,
+    pub links: Rc<Links>,
     pub store: Store,
     pub effects: Effects,
     pub stewards: RefCell<Vec<Option<Process>>>,
@@ -54,11 +54,11 @@
     /// Address at which each steward accepts agents; `None` before its first start.
     agent_listeners: Vec<Rc<Cell<Option<SocketAddr>>>>,
     /// Between each steward and the store.
-    store_proxies: Vec<Rc<Streams>>,
+    store_proxies: Vec<Rc<StreamProxy>>,
     /// Between each site's agent and each steward, by site and steward.
-    agent_proxies: Vec<Vec<Rc<Streams>>>,
+    agent_proxies: Vec<Vec<Rc<StreamProxy>>>,
     /// Between each site's agent and the effects service.
-    effects_proxies: Vec<Rc<Streams>>,
+    effects_proxies: Vec<Rc<StreamProxy>>,
     /// How often each steward was started.
     starts: RefCell<Vec<usize>>,
     /// Bytes relayed between stewards and the store, and between agents and stewards.
@@ -113,7 +113,7 @@
             dir.join("servers.yaml"),
             "servers:\n  - {id: a, zone: z, address: \"127.0.0.1:9\"}\n",
         )?;
-        let ways = Ways::new(day.seed, Way::default());
+        let links = Links::new(day.seed, Link::default());
         let store = Store::new(day.seed | 1);
         let clock = store.clone();
         let effects = Effects::new(100_000, day.work.effects_without_memory, move || clock.now());
@@ -123,8 +123,8 @@
         let bytes_relayed: [Rc<Cell<u64>>; 2] = Default::default();
         let byte_counter = |kind: usize| {
             let count = bytes_relayed[kind].clone();
-            Rc::new(move |_, event: crate::ways::Seen| {
-                if let crate::ways::Seen::Piece { bytes, .. } = event {
+            Rc::new(move |_, event: crate::links::StreamEvent| {
+                if let crate::links::StreamEvent::Piece { bytes, .. } = event {
                     count.set(count.get() + bytes.len() as u64);
                 }
             })
@@ -132,26 +132,33 @@
         let (mut store_proxies, mut agent_proxies, mut effects_proxies) =
             (Vec::new(), Vec::new(), Vec::new());
         for n in 0..day.work.stewards {
-            let ends = (End::Steward(n), End::Store);
+            let ends = (Endpoint::Steward(n), Endpoint::Store);
             let watch = byte_counter(0);
-            store_proxies.push(Streams::listen(&ways, ends, store_at.clone(), BytesCodec::new, watch).await?);
+            store_proxies
+                .push(StreamProxy::listen(&links, ends, store_at.clone(), BytesCodec::new, watch).await?);
         }
         for m in 0..day.work.sites {
             let mut own = Vec::new();
             for (n, target) in agent_listeners.iter().enumerate() {
-                let ends = (End::Agent(m), End::Steward(n));
+                let ends = (Endpoint::Agent(m), Endpoint::Steward(n));
                 let watch = byte_counter(1);
                 own.push(
-                    Streams::listen(&ways, ends, target.clone(), || codec(MAX_BODY_FROM_STEWARD), watch)
+                    StreamProxy::listen(&links, ends, target.clone(), || codec(MAX_BODY_FROM_STEWARD), watch)
                         .await?,
                 );
             }
             agent_proxies.push(own);
-            let ends = (End::Agent(m), End::Effects);
-            let watch = Rc::new(|_, _: crate::ways::Seen| ());
+            let ends = (Endpoint::Agent(m), Endpoint::Effects);
+            let watch = Rc::new(|_, _: crate::links::StreamEvent| ());
             effects_proxies.push(
-                Streams::listen(&ways, ends, effects_at.clone(), || codec(effects::MAX_MESSAGE_BYTES), watch)
-                    .await?,
+                StreamProxy::listen(
+                    &links,
+                    ends,
+                    effects_at.clone(),
+                    || codec(effects::MAX_MESSAGE_BYTES),
+                    watch,
+                )
+                .await?,
             );
         }
         Ok(Rc::new(Fleet {
@@ -164,7 +171,7 @@
             submitted: Cell::new(0),
             day,
             dir: dir.to_owned(),
-            ways,
+            links,
             store,
             effects,
             agent_listeners,
--- a/crates/ravenspar/src/cli.rs
+++ b/crates/ravenspar/src/cli.rs
@@ -152,7 +152,7 @@
 fn platform(config: &Path) -> Result<(), CommandError> {
     use ravenspar_platform_net::ServeError as PlatformError;
     runtime()?.block_on(ravenspar_platform_net::serve(config)).map_err(|error| match error {
-        PlatformError::Input(why) => CommandError::InvalidInput(why),
+        PlatformError::InvalidConfig(why) => CommandError::InvalidInput(why),
         PlatformError::Failed(why) => CommandError::Failed(why),
     })
 }
