--- a/crates/lab/src/day.rs
+++ b/crates/lab/src/day.rs
@@ -21,13 +21,13 @@
 }
 
 /// Returns true if a file has this top-level entry, which tells the kind of day.
-pub fn has(path: &Path, entry: &str) -> bool {
+pub fn has_entry(path: &Path, entry: &str) -> bool {
     let text = std::fs::read_to_string(path).unwrap_or_default();
     serde_saphyr::from_str::<serde_json::Value>(&text).is_ok_and(|day| day.get(entry).is_some())
 }
 
 /// Reads a day of type `T`. The error says what was expected and where.
-pub fn read<T: serde::de::DeserializeOwned>(path: &Path) -> Result<T, String> {
+pub fn read_yaml<T: serde::de::DeserializeOwned>(path: &Path) -> Result<T, String> {
     let shown = path.display();
     let text = std::fs::read_to_string(path).map_err(|e| format!("{shown}: {e}"))?;
     serde_saphyr::from_str(&text).map_err(|e| format!("{shown}: {e}"))
--- a/crates/lab/src/faults.rs
+++ b/crates/lab/src/faults.rs
@@ -321,7 +321,7 @@
             fleet.record_steward_state(pause.steward, "stopped");
             sleep(duration(pause.lasts.0)).await;
             // Signalled by its id: if it is being shut down by now, it is no longer in its slot.
-            crate::processes::send(id, "CONT").await;
+            crate::processes::send_signal(id, "CONT").await;
             fleet.record_steward_state(pause.steward, "continued");
             return;
         }
--- a/crates/lab/src/fleet/day.rs
+++ b/crates/lab/src/fleet/day.rs
@@ -170,13 +170,13 @@
 impl FleetDay {
     /// Returns true if the file holds a day of this kind.
     pub fn recognizes(path: &Path) -> bool {
-        crate::day::has(path, "fleet")
+        crate::day::has_entry(path, "fleet")
     }
 
     /// Reads and checks a day file. The error names the file and what was expected.
     pub fn load(path: &Path) -> Result<FleetDay, String> {
         let shown = path.display();
-        let day: FleetDay = crate::day::read(path)?;
+        let day: FleetDay = crate::day::read_yaml(path)?;
         let count = day.fleet.stewards;
         if !(2..=25).contains(&count) {
             return Err(format!("{shown}: fleet.stewards: {count}: expected 2 to 25"));
--- a/crates/lab/src/fleet/measure.rs
+++ b/crates/lab/src/fleet/measure.rs
@@ -10,16 +10,16 @@
 use super::play::Fleet;
 use crate::day::Span;
 use crate::links::Endpoint;
-use crate::measure::quantiles;
+use crate::measure::format_quantiles;
 use crate::processes::Process;
-use crate::stage::Fault;
+use crate::stage::LabError;
 
 /// Seconds without changes over which the idle load is measured.
 const IDLE_S: u64 = 20;
 
 /// Measures, for each number of stewards: the time from a crash until all others have dropped the member, from a join and from
 /// the end of a split until the view has settled, and the idle load.
-pub async fn measure(counts: &[usize], rounds: usize) -> Result<(), Fault> {
+pub async fn measure(counts: &[usize], rounds: usize) -> Result<(), LabError> {
     print_line(format_args!(
         "Rounds of 300 ms, {rounds} times each; s as median / 99th / worst. Crash: for each of the others. Join: of a process that \
          is restarted, including its start. Heal: after a split into halves for 12 s.\n"
@@ -91,9 +91,9 @@
         print_line(format_args!(
             "| {count} | {} | {} | {} | {} | {:.1} | {:.0} | {:.2}% |",
             poll_interval.as_millis(),
-            quantiles(crashes, 1),
-            quantiles(joins, 1),
-            quantiles(heals, 1),
+            format_quantiles(crashes, 1),
+            format_quantiles(joins, 1),
+            format_quantiles(heals, 1),
             load.0,
             load.1,
             load.2 * 100.0
@@ -103,12 +103,12 @@
 }
 
 /// Waits until these members have converged, by samples taken from now on.
-async fn converged(fleet: &Rc<Fleet>, members: &[usize]) -> Result<(), Fault> {
+async fn converged(fleet: &Rc<Fleet>, members: &[usize]) -> Result<(), LabError> {
     // Earlier samples don't count.
     sleep(fleet.poll_interval.get().unwrap_or_default() * 2).await;
     match fleet.wait_until_converged(members).await {
         true => Ok(()),
-        false => Err(Fault::Failed(format!("{members:?} did not converge"))),
+        false => Err(LabError::Failed(format!("{members:?} did not converge"))),
     }
 }
 
@@ -133,5 +133,5 @@
 
 /// CPU seconds that all processes have used so far.
 fn cpu_seconds(fleet: &Fleet) -> f64 {
-    fleet.processes.borrow().iter().flatten().map(Process::cpu).sum()
+    fleet.processes.borrow().iter().flatten().map(Process::cpu_seconds).sum()
 }
--- a/crates/lab/src/fleet/play.rs
+++ b/crates/lab/src/fleet/play.rs
@@ -15,8 +15,8 @@
 use super::judge::{judge, Checkpoint, Verdict, ViewSample};
 use super::waits::CpuWaits;
 use crate::links::{make_key, DatagramProxy, Endpoint, Link, Links};
-use crate::processes::{send, Process};
-use crate::stage::Fault;
+use crate::processes::{send_signal, Process};
+use crate::stage::LabError;
 
 /// Interval between two queries of a steward's view.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
@@ -44,7 +44,7 @@
 }
 
 /// Runs the day and judges it. Settings, logs and samples are written to `dir`.
-pub async fn play(day: FleetDay, dir: &Path) -> Result<Verdict, Fault> {
+pub async fn play(day: FleetDay, dir: &Path) -> Result<Verdict, LabError> {
     ravenspar::print_line(&day.about);
     let fleet = Fleet::open(day, dir).await?;
     let first: Vec<usize> =
@@ -86,7 +86,7 @@
 
 impl Fleet {
     /// Opens the datagram proxy and starts to observe the stewards, none of which is started yet.
-    pub async fn open(day: FleetDay, dir: &Path) -> Result<Rc<Fleet>, Fault> {
+    pub async fn open(day: FleetDay, dir: &Path) -> Result<Rc<Fleet>, LabError> {
         let count = day.fleet.stewards;
         make_key(dir)?;
         std::fs::write(
@@ -132,11 +132,11 @@
     }
 
     /// Starts a steward.
-    pub async fn start(&self, n: usize) -> Result<(), Fault> {
+    pub async fn start(&self, n: usize) -> Result<(), LabError> {
         self.datagrams.start_with_free_port(n, async || self.try_start(n).await).await
     }
 
-    async fn try_start(&self, n: usize) -> Result<(), Fault> {
+    async fn try_start(&self, n: usize) -> Result<(), LabError> {
         let (shown, own) = self.datagrams.addresses(n);
         let seeds = self.day.fleet.seeds.iter().map(|&seed| self.datagrams.addresses(seed).0);
         let peers: Vec<String> =
@@ -269,7 +269,7 @@
 
     /// Injects the faults in order. Wherever nothing changes for as long as the view may take to settle, a checkpoint is added at
     /// which the views have to be right. Returns the time at which the day ended.
-    async fn inject_faults(self: &Rc<Fleet>, settled: u64) -> Result<u64, Fault> {
+    async fn inject_faults(self: &Rc<Fleet>, settled: u64) -> Result<u64, LabError> {
         // The beginning and the end of each fault.
         let mut steps: Vec<(u64, Step)> = Vec::new();
         let mut add = |fault: &ScheduledFault| {
@@ -317,7 +317,7 @@
         self.checkpoints.borrow_mut().push(Checkpoint { at: self.datagrams.now(), since, reachable_groups });
     }
 
-    async fn apply_step(self: &Rc<Fleet>, step: Step) -> Result<(), Fault> {
+    async fn apply_step(self: &Rc<Fleet>, step: Step) -> Result<(), LabError> {
         match step {
             Step::Begin(FaultKind::Crash { stewards }) => {
                 for n in stewards {
@@ -412,7 +412,7 @@
         for &n in stewards {
             let id = self.processes.borrow()[n].as_ref().and_then(Process::id);
             if let Some(id) = id {
-                send(id, if stop { "STOP" } else { "CONT" }).await;
+                send_signal(id, if stop { "STOP" } else { "CONT" }).await;
             }
         }
     }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -25,7 +25,7 @@
 use ravenspar_standin::forwarder;
 
 use crate::day::Day;
-use crate::stage::Fault;
+use crate::stage::LabError;
 
 #[derive(Parser)]
 #[command(
@@ -188,7 +188,7 @@
                 match is_valid {
                     true => block_on(measure_sharing::run_all(&stewards, &slices, rounds))
                         .and_then(|measured| measured.map(|()| true)),
-                    false => Err(Fault::Input(
+                    false => Err(LabError::Input(
                         "measure-sharing: expected 2 to 64 stewards, 1 to 65535 slices, 1 round or more"
                             .to_owned(),
                     )),
@@ -199,7 +199,7 @@
                 match is_valid {
                     true => block_on(fleet::measure(&stewards, rounds))
                         .and_then(|measured| measured.map(|()| true)),
-                    false => Err(Fault::Input(
+                    false => Err(LabError::Input(
                         "measure-view: expected 2 to 25 stewards, 1 round or more".to_owned(),
                     )),
                 }
@@ -209,7 +209,7 @@
                 match is_valid {
                     true => block_on(work::measure(&stewards, rounds))
                         .and_then(|measured| measured.map(|()| true)),
-                    false => Err(Fault::Input(
+                    false => Err(LabError::Input(
                         "measure-work: expected 2 to 9 stewards, 1 round or more".to_owned(),
                     )),
                 }
@@ -226,11 +226,11 @@
     match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
-        Err(Fault::Input(message)) => {
+        Err(LabError::Input(message)) => {
             eprintln!("{message}");
             ExitCode::from(2)
         }
-        Err(Fault::Failed(message)) => {
+        Err(LabError::Failed(message)) => {
             eprintln!("{message}");
             ExitCode::FAILURE
         }
@@ -238,15 +238,15 @@
 }
 
 /// Runs a future, and the tasks that it spawns locally, on this thread.
-fn block_on<T>(future: impl std::future::Future<Output = T>) -> Result<T, Fault> {
+fn block_on<T>(future: impl std::future::Future<Output = T>) -> Result<T, LabError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     Ok(tokio::task::LocalSet::new().block_on(&runtime, future))
 }
 
 /// Plays a day of any kind and judges it. Returns true if it kept all rules.
-fn run_day(file: &Path, keep: Option<PathBuf>, seed: Option<u64>) -> Result<bool, Fault> {
+fn run_day(file: &Path, keep: Option<PathBuf>, seed: Option<u64>) -> Result<bool, LabError> {
     if fleet::FleetDay::recognizes(file) {
-        let mut day = fleet::FleetDay::load(file).map_err(Fault::Input)?;
+        let mut day = fleet::FleetDay::load(file).map_err(LabError::Input)?;
         day.seed = seed.unwrap_or(day.seed);
         return in_folder(keep, |dir| {
             let verdict = block_on(fleet::play(day, dir))??;
@@ -256,7 +256,7 @@
         });
     }
     if work::WorkDay::recognizes(file) {
-        let mut day = work::WorkDay::load(file).map_err(Fault::Input)?;
+        let mut day = work::WorkDay::load(file).map_err(LabError::Input)?;
         day.seed = seed.unwrap_or(day.seed);
         return in_folder(keep, |dir| {
             let verdict = block_on(work::play(day, dir))??;
@@ -265,7 +265,7 @@
             Ok(verdict.kept())
         });
     }
-    let mut day = Day::load(file).map_err(Fault::Input)?;
+    let mut day = Day::load(file).map_err(LabError::Input)?;
     day.seed = seed.unwrap_or(day.seed);
     in_folder(keep, |dir| {
         block_on(play::play(day, file, dir))??;
@@ -274,14 +274,17 @@
 }
 
 /// Runs `play` in an empty folder: the one to keep, or else a temporary one.
-fn in_folder(keep: Option<PathBuf>, play: impl FnOnce(&Path) -> Result<bool, Fault>) -> Result<bool, Fault> {
+fn in_folder(
+    keep: Option<PathBuf>,
+    play: impl FnOnce(&Path) -> Result<bool, LabError>,
+) -> Result<bool, LabError> {
     let temp;
     let dir = match &keep {
         Some(dir) => {
             std::fs::create_dir_all(dir)?;
             let is_used = std::fs::read_dir(dir)?.next().is_some();
             if is_used {
-                return Err(Fault::Input(format!("{}: expected an empty folder", dir.display())));
+                return Err(LabError::Input(format!("{}: expected an empty folder", dir.display())));
             }
             dir.as_path()
         }
@@ -293,11 +296,11 @@
     play(dir)
 }
 
-fn measure(forwarders: &[usize], slices: usize, servers: usize, hand_overs: bool) -> Result<bool, Fault> {
+fn measure(forwarders: &[usize], slices: usize, servers: usize, hand_overs: bool) -> Result<bool, LabError> {
     let is_valid = |&count: &usize| (1..=10_000).contains(&count);
     if !forwarders.iter().all(is_valid) || !(1..=65_535).contains(&slices) || !(9..=10_000).contains(&servers)
     {
-        return Err(Fault::Input(
+        return Err(LabError::Input(
             "measure: expected 1 to 10000 forwarders, 1 to 65535 slices, 9 to 10000 servers".to_owned(),
         ));
     }
@@ -312,31 +315,33 @@
     Ok(true)
 }
 
-fn run_soak(file: &Path, minutes: f64, seed: u64, at_once: usize, keep: &Path) -> Result<bool, Fault> {
+fn run_soak(file: &Path, minutes: f64, seed: u64, at_once: usize, keep: &Path) -> Result<bool, LabError> {
     let is_valid = minutes > 0.0 && minutes <= 1e4 && (1..=64).contains(&at_once);
     if !is_valid {
-        return Err(Fault::Input("soak: expected more than 0 minutes, and 1 to 64 days at once".to_owned()));
+        return Err(LabError::Input(
+            "soak: expected more than 0 minutes, and 1 to 64 days at once".to_owned(),
+        ));
     }
     match (fleet::FleetDay::recognizes(file), work::WorkDay::recognizes(file)) {
-        (true, _) => _ = fleet::FleetDay::load(file).map_err(Fault::Input)?,
-        (_, true) => _ = work::WorkDay::load(file).map_err(Fault::Input)?,
-        _ => _ = Day::load(file).map_err(Fault::Input)?,
+        (true, _) => _ = fleet::FleetDay::load(file).map_err(LabError::Input)?,
+        (_, true) => _ = work::WorkDay::load(file).map_err(LabError::Input)?,
+        _ => _ = Day::load(file).map_err(LabError::Input)?,
     }
     block_on(soak::soak(file, minutes, seed, at_once, keep))?
 }
 
 /// Judges the capture in a folder and prints the report. Returns true if it kept all rules.
-fn judge_dir(dir: &Path) -> Result<bool, Fault> {
-    let (_, rules) = stage::load_rules(dir).map_err(Fault::Input)?;
+fn judge_dir(dir: &Path) -> Result<bool, LabError> {
+    let (_, rules) = stage::load_rules(dir).map_err(LabError::Input)?;
     let path = dir.join("capture.jsonl");
     let events = ravenspar_standin::capture::read(&path);
-    let events = events.map_err(|e| Fault::Input(format!("{}: {e}", path.display())))?;
+    let events = events.map_err(|e| LabError::Input(format!("{}: {e}", path.display())))?;
     let verdict = judge::judge(&events, &rules);
     print_line(verdict.report());
     Ok(verdict.kept())
 }
 
-fn run_agent(args: AgentArgs) -> Result<bool, Fault> {
+fn run_agent(args: AgentArgs) -> Result<bool, LabError> {
     let options = ravenspar_standin::agent::Options {
         name: args.name,
         stewards: args.steward,
@@ -357,7 +362,7 @@
     Ok(true)
 }
 
-fn run_forwarder(args: ForwarderArgs) -> Result<bool, Fault> {
+fn run_forwarder(args: ForwarderArgs) -> Result<bool, LabError> {
     let options = forwarder::Options {
         number: args.number,
         zone: args.zone,
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -19,7 +19,7 @@
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 
 use crate::processes::Process;
-use crate::stage::Fault;
+use crate::stage::LabError;
 
 /// What a light forwarder has received, and when.
 #[derive(Default)]
@@ -163,12 +163,12 @@
 }
 
 /// Waits until a condition holds. Fails after two minutes.
-pub async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) -> Result<(), Fault> {
+pub async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) -> Result<(), LabError> {
     const TIMEOUT: Duration = Duration::from_secs(120);
     let began = Instant::now();
     while !holds() {
         if began.elapsed() > TIMEOUT {
-            return Err(Fault::Failed(format!("not within {TIMEOUT:?}: {what}")));
+            return Err(LabError::Failed(format!("not within {TIMEOUT:?}: {what}")));
         }
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
@@ -176,7 +176,12 @@
 }
 
 impl TestBed {
-    async fn start(slices: usize, servers: usize, forwarders: usize, level: &str) -> Result<TestBed, Fault> {
+    async fn start(
+        slices: usize,
+        servers: usize,
+        forwarders: usize,
+        level: &str,
+    ) -> Result<TestBed, LabError> {
         let dir = tempfile::tempdir()?;
         std::fs::write(dir.path().join("steward.yaml"), settings(slices, forwarders))?;
         write_server_list(dir.path(), servers, &[])?;
@@ -192,7 +197,7 @@
     }
 
     /// Waits until every forwarder has every slice open for writes, none of them at a server in `without`.
-    async fn wait_settled(&self, slices: usize, without: &[usize]) -> Result<(), Fault> {
+    async fn wait_settled(&self, slices: usize, without: &[usize]) -> Result<(), LabError> {
         let removed: Vec<String> = without.iter().map(|n| format!("plan-{n}")).collect();
         wait_until("every slice is open at every forwarder", || {
             self.received.borrow().iter().all(|received| {
@@ -261,7 +266,7 @@
 }
 
 /// Formats the median, the 99th percentile and the maximum, with this many decimals.
-pub fn quantiles(of: Vec<f64>, digits: usize) -> String {
+pub fn format_quantiles(of: Vec<f64>, digits: usize) -> String {
     /// Resolution of a unit: the histogram counts integers.
     const RESOLUTION: f64 = 1e4;
     // Three significant digits are enough for these measurements. `new` fails only for more than five.
@@ -278,7 +283,7 @@
 }
 
 /// Measures hand-overs after a drain of one server, for each count of forwarders.
-pub async fn hand_overs(slices: usize, servers: usize, forwarders: &[usize]) -> Result<(), Fault> {
+pub async fn hand_overs(slices: usize, servers: usize, forwarders: &[usize]) -> Result<(), LabError> {
     const ROUNDS: usize = 5;
     print_line(format_args!(
         "Drain of one of {servers} servers, {slices} slices; ms, median and worst of {ROUNDS} drains.\n"
@@ -341,7 +346,7 @@
 }
 
 /// Measures CPU and memory, idle and while a third of the servers leaves in three waves.
-pub async fn load(slices: usize, servers: usize, forwarders: &[usize]) -> Result<(), Fault> {
+pub async fn load(slices: usize, servers: usize, forwarders: &[usize]) -> Result<(), LabError> {
     print_line(format_args!(
         "\nCPU (share of a core) and memory of the steward, {servers} servers, {slices} slices.\n"
     ));
@@ -349,12 +354,12 @@
     print_line("| --- | --- | --- | --- | --- | --- | --- | --- |");
     for &count in forwarders {
         let mut bed = TestBed::start(slices, servers, count, "info").await?;
-        let (before, began) = (bed.steward.cpu(), Instant::now());
+        let (before, began) = (bed.steward.cpu_seconds(), Instant::now());
         tokio::time::sleep(Duration::from_secs(10)).await;
-        let rest = (bed.steward.cpu() - before) / began.elapsed().as_secs_f64();
+        let rest = (bed.steward.cpu_seconds() - before) / began.elapsed().as_secs_f64();
         let memory = bed.memory();
         let frames = |bed: &TestBed| bed.received.borrow().iter().map(|t| t.frames - t.echoes).sum::<u64>();
-        let (before, began, sent) = (bed.steward.cpu(), Instant::now(), frames(&bed));
+        let (before, began, sent) = (bed.steward.cpu_seconds(), Instant::now(), frames(&bed));
         let mut draining = Vec::new();
         for wave in 0..3 {
             draining.extend((0..servers / 9).map(|n| wave * (servers / 9) + n));
@@ -363,7 +368,7 @@
         }
         bed.wait_settled(slices, &draining).await?;
         let took = began.elapsed().as_secs_f64();
-        let busy = (bed.steward.cpu() - before) / took;
+        let busy = (bed.steward.cpu_seconds() - before) / took;
         let each = (frames(&bed) - sent) as f64 / count as f64;
         let after = bed.memory();
         bed.steward.end().await;
@@ -377,7 +382,7 @@
 
 /// Measures the time from the start of the process until it listens, and until a forwarder has the whole table, for each
 /// count of recorded slices.
-pub async fn starts(slices: &[usize]) -> Result<(), Fault> {
+pub async fn starts(slices: &[usize]) -> Result<(), LabError> {
     print_line("\nStart with slices on record; ms, median of 5.\n");
     print_line("| slices | until it listens | until a forwarder has the whole table |");
     print_line("| --- | --- | --- |");
@@ -385,7 +390,7 @@
         let dir = tempfile::tempdir()?;
         std::fs::write(dir.path().join("steward.yaml"), settings(count, 1))?;
         write_server_list(dir.path(), 100, &[])?;
-        let failed = |error: ravenspar_record::RecordError| Fault::Failed(error.to_string());
+        let failed = |error: ravenspar_record::RecordError| LabError::Failed(error.to_string());
         let record = Record::open(&dir.path().join("steward.redb")).map_err(failed)?;
         let row = |slice: usize| SliceRow {
             slice: slice as u32,
@@ -418,13 +423,13 @@
 }
 
 /// Measures durable writes per second, for several counts of lines in a commit.
-pub fn writes() -> Result<(), Fault> {
+pub fn writes() -> Result<(), LabError> {
     print_line("\nDurable writes, each synced, on the machine's temporary folder.\n");
     print_line("| lines a commit | rest before each | a commit takes | commits/s | lines/s |");
     print_line("| --- | --- | --- | --- | --- |");
     for (lines, rest) in [(1usize, 0), (10, 0), (100, 0), (1_000, 0), (10, 500)] {
         let dir = tempfile::tempdir()?;
-        let failed = |error: ravenspar_record::RecordError| Fault::Failed(error.to_string());
+        let failed = |error: ravenspar_record::RecordError| LabError::Failed(error.to_string());
         let record = Record::open(&dir.path().join("steward.redb")).map_err(failed)?;
         let (began, mut commits, mut busy) = (Instant::now(), 0, Duration::ZERO);
         while began.elapsed() < Duration::from_secs(3) {
--- a/crates/lab/src/measure_sharing.rs
+++ b/crates/lab/src/measure_sharing.rs
@@ -15,9 +15,9 @@
 use tokio::task::spawn_local;
 
 use crate::links::{make_key, DatagramProxy, Link, Links};
-use crate::measure::{quantiles, run_stream, wait_until, write_server_list};
+use crate::measure::{format_quantiles, run_stream, wait_until, write_server_list};
 use crate::processes::Process;
-use crate::stage::Fault;
+use crate::stage::LabError;
 
 const SERVERS: usize = 60;
 const FORWARDERS: usize = 12;
@@ -172,7 +172,7 @@
 
 impl TestBed {
     /// `view`: conditions of the links by which the stewards keep a view; `None` for no view.
-    async fn start(stewards: usize, slices: usize, view: Option<Link>) -> Result<TestBed, Fault> {
+    async fn start(stewards: usize, slices: usize, view: Option<Link>) -> Result<TestBed, LabError> {
         let dir = tempfile::tempdir()?;
         write_server_list(dir.path(), SERVERS, &[])?;
         let store = Store::new(1);
@@ -218,7 +218,7 @@
         Ok(bed)
     }
 
-    async fn start_steward(&mut self, steward: usize) -> Result<(), Fault> {
+    async fn start_steward(&mut self, steward: usize) -> Result<(), LabError> {
         let args = ["steward", "--log", "warn", "serve"].map(OsString::from).into_iter();
         let args = args.chain([self.dir.path().join(format!("{steward}.yaml")).into_os_string()]).collect();
         let process = Process::start(args, &self.dir.path().join(format!("{steward}.log"))).await?;
@@ -228,7 +228,7 @@
     }
 
     /// Waits until every slice is writable at every forwarder, with slices assigned evenly to all stewards except `gone`.
-    async fn wait_settled(&self, gone: Option<usize>) -> Result<(), Fault> {
+    async fn wait_settled(&self, gone: Option<usize>) -> Result<(), LabError> {
         let present: Vec<usize> = (0..self.stewards.len()).filter(|steward| Some(*steward) != gone).collect();
         wait_until("slices are open in even shares", || {
             self.received.borrow().iter().all(|received| {
@@ -299,7 +299,7 @@
 }
 
 /// Measures `rounds` crashes, joins and orderly leaves of stewards.
-pub async fn take_overs(stewards: &[usize], slices: &[usize], rounds: usize) -> Result<(), Fault> {
+pub async fn take_overs(stewards: &[usize], slices: &[usize], rounds: usize) -> Result<(), LabError> {
     print_line(format_args!(
         "\n{FORWARDERS} forwarders, memberships of {MEMBER_LEASE} s, forwarders' leases of 4 s; ms as median / 99th / worst \
          over slices and forwarders, {rounds} rounds. `bare`: slices that had no owner for reads when they came into another's charge."
@@ -357,8 +357,8 @@
             print_line(format_args!(
                 "| {count} | {slices} | {} | {rest:.1} | {ownerless} | {} | {} | {} | {} | {} |",
                 if view { "yes" } else { "no" },
-                quantiles(until_write, 0),
-                quantiles(gaps, 0),
+                format_quantiles(until_write, 0),
+                format_quantiles(gaps, 0),
                 asked / rounds as u64,
                 moves(&joins),
                 moves(&leaves)
@@ -369,7 +369,7 @@
 }
 
 /// Measures planned hand-overs without a view, with a view and its hints, and with a view over bad links.
-pub async fn planned(stewards: usize, slices: usize, rounds: usize) -> Result<(), Fault> {
+pub async fn planned(stewards: usize, slices: usize, rounds: usize) -> Result<(), LabError> {
     print_line(format_args!(
         "\nA steward of {stewards} ends in order, {slices} slices, {rounds} times: from a forwarder's hearing that a slice is \
          left until it hears who is in charge; ms as median / 99th / worst. Writes go on meanwhile."
@@ -405,13 +405,17 @@
         waits.sort_by(f64::total_cmp);
         gaps.sort_by(f64::total_cmp);
         let lost = bed.datagrams.as_ref().map_or(String::new(), |of| format!(" ({})", of.counts()));
-        print_line(format_args!("| {name}{lost} | {} | {} |", quantiles(waits, 0), quantiles(gaps, 0)));
+        print_line(format_args!(
+            "| {name}{lost} | {} | {} |",
+            format_quantiles(waits, 0),
+            format_quantiles(gaps, 0)
+        ));
     }
     Ok(())
 }
 
 /// Runs all measurements.
-pub async fn run_all(stewards: &[usize], slices: &[usize], rounds: usize) -> Result<(), Fault> {
+pub async fn run_all(stewards: &[usize], slices: &[usize], rounds: usize) -> Result<(), LabError> {
     take_overs(stewards, slices, rounds).await?;
     planned(3, 1_700, rounds.max(3)).await
 }
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -9,10 +9,10 @@
 
 use crate::day::Day;
 use crate::processes::SHUTDOWN_TIMEOUT;
-use crate::stage::{write_settings, Fault, Fleet};
+use crate::stage::{write_settings, Fleet, LabError};
 
 /// Plays a day in `dir`, and leaves its capture there.
-pub async fn play(day: Day, file: &Path, dir: &Path) -> Result<(), Fault> {
+pub async fn play(day: Day, file: &Path, dir: &Path) -> Result<(), LabError> {
     let (checked, rules) = write_settings(&day, file, dir)?;
     print_line(format_args!("day {}: {}", file.display(), day.about));
     print_line(format_args!(
@@ -42,7 +42,7 @@
     for task in injected {
         // Faults that outlast the clients are awaited too, so that their effects are judged.
         if let Err(why) = task.await.map_err(io::Error::other).and_then(|result| result) {
-            return Err(Fault::Failed(format!("a fault could not be injected: {why}")));
+            return Err(LabError::Failed(format!("a fault could not be injected: {why}")));
         }
     }
     while fleet.clients.open() > 0 {
@@ -60,7 +60,7 @@
     let errors: Vec<String> = errors.collect();
     match errors.is_empty() {
         true => Ok(()),
-        false => Err(Fault::Failed(format!("{}, see their logs", errors.join("; ")))),
+        false => Err(LabError::Failed(format!("{}, see their logs", errors.join("; ")))),
     }
 }
 
--- a/crates/lab/src/processes.rs
+++ b/crates/lab/src/processes.rs
@@ -41,7 +41,7 @@
     }
 
     /// Reads the second line of output: the address where a steward that schedules jobs accepts agents of sites.
-    pub async fn agents(&mut self) -> io::Result<SocketAddr> {
+    pub async fn read_agent_address(&mut self) -> io::Result<SocketAddr> {
         let mut line = String::new();
         self.out.read_line(&mut line).await?;
         let address = line.trim().strip_prefix("agents at ").and_then(|address| address.parse().ok());
@@ -54,7 +54,7 @@
     }
 
     /// Returns true if it is no longer running.
-    pub fn ended(&mut self) -> bool {
+    pub fn has_ended(&mut self) -> bool {
         !matches!(self.child.try_wait(), Ok(None))
     }
 
@@ -69,7 +69,7 @@
     }
 
     /// CPU time used so far, in seconds; 0 if it has ended.
-    pub fn cpu(&self) -> f64 {
+    pub fn cpu_seconds(&self) -> f64 {
         let ticks = self.stat().map_or(0, |stat| stat.utime + stat.stime);
         ticks as f64 / procfs::ticks_per_second() as f64
     }
@@ -83,7 +83,7 @@
     /// Sends it a signal by name (`STOP`, `CONT`, ...).
     pub async fn signal(&self, name: &str) {
         if let Some(id) = self.child.id() {
-            send(id, name).await;
+            send_signal(id, name).await;
         }
     }
 
@@ -108,6 +108,6 @@
 }
 
 /// Sends a signal by name to one of the day's processes.
-pub async fn send(id: u32, name: &str) {
+pub async fn send_signal(id: u32, name: &str) {
     let _ = Command::new("kill").args([&format!("-{name}"), &id.to_string()]).status().await;
 }
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -11,7 +11,7 @@
 
 use crate::fleet::FleetDay;
 use crate::judge;
-use crate::stage::{self, Fault};
+use crate::stage::{self, LabError};
 use crate::work::WorkDay;
 
 /// Results of all days so far.
@@ -29,7 +29,13 @@
 
 /// Plays `at_once` days concurrently, each in its own process. Returns true if all of them kept the rules; the captures of
 /// the others are left in `keep`.
-pub async fn soak(file: &Path, minutes: f64, seed: u64, at_once: usize, keep: &Path) -> Result<bool, Fault> {
+pub async fn soak(
+    file: &Path,
+    minutes: f64,
+    seed: u64,
+    at_once: usize,
+    keep: &Path,
+) -> Result<bool, LabError> {
     let end = Instant::now() + Duration::from_secs_f64(minutes * 60.0);
     std::fs::create_dir_all(keep)?;
     let mut playing: VecDeque<(u64, PathBuf, Instant, Child)> = VecDeque::new();
--- a/crates/lab/src/stage.rs
+++ b/crates/lab/src/stage.rs
@@ -22,16 +22,16 @@
 use crate::processes::Process;
 
 /// Why a command failed.
-pub enum Fault {
+pub enum LabError {
     /// The input is invalid; exit code 2.
     Input(String),
     /// The day could not be played or measured.
     Failed(String),
 }
 
-impl From<io::Error> for Fault {
-    fn from(error: io::Error) -> Fault {
-        Fault::Failed(error.to_string())
+impl From<io::Error> for LabError {
+    fn from(error: io::Error) -> LabError {
+        LabError::Failed(error.to_string())
     }
 }
 
@@ -63,10 +63,10 @@
     day: &Day,
     file: &Path,
     dir: &Path,
-) -> Result<(settings::ValidatedSettings, Rules), Fault> {
+) -> Result<(settings::ValidatedSettings, Rules), LabError> {
     let mut cfg = day.steward.clone();
     let Some(map) = cfg.as_object_mut() else {
-        return Err(Fault::Input(format!("{}:1:1: steward: expected a map of settings", file.display())));
+        return Err(LabError::Input(format!("{}:1:1: steward: expected a map of settings", file.display())));
     };
     map.insert("listen".to_owned(), "127.0.0.1:0".into());
     map.insert("record".to_owned(), "steward.redb".into());
@@ -80,8 +80,8 @@
     }
     let path = dir.join("steward.yaml");
     // JSON is YAML.
-    std::fs::write(&path, serde_json::to_string_pretty(&cfg).map_err(|e| Fault::Failed(e.to_string()))?)?;
-    load_rules(dir).map_err(|what| Fault::Input(format!("{}: steward: {what}", file.display())))
+    std::fs::write(&path, serde_json::to_string_pretty(&cfg).map_err(|e| LabError::Failed(e.to_string()))?)?;
+    load_rules(dir).map_err(|what| LabError::Input(format!("{}: steward: {what}", file.display())))
 }
 
 /// Loads the settings of a day from its folder, and the judge's rules from them.
@@ -93,7 +93,7 @@
 
 impl Fleet {
     /// Starts all processes of a day; the servers are listed as ready.
-    pub async fn start(day: Day, dir: &Path, rules: &Rules) -> Result<Rc<Fleet>, Fault> {
+    pub async fn start(day: Day, dir: &Path, rules: &Rules) -> Result<Rc<Fleet>, LabError> {
         let clock = Clock::default();
         let capture = Capture::create(&dir.join("capture.jsonl"), clock)?;
         let steward_addresses: Vec<_> = (0..day.stewards()).map(|_| Rc::new(Cell::new(None))).collect();
@@ -341,7 +341,7 @@
 
     /// Waits until every forwarder serves a req for every slice. Fails after a time that allows for lease and settling, or if a
     /// steward ends.
-    pub async fn warm_up(&self, checked: &settings::ValidatedSettings) -> Result<(), Fault> {
+    pub async fn warm_up(&self, checked: &settings::ValidatedSettings) -> Result<(), LabError> {
         let slices = checked.map.number("family_info.ranges").unwrap_or(0.0) as u64;
         let lease = checked.map.time("family_info.write_lease_s").unwrap_or(SECOND);
         let settle = checked.map.time("family_info.settle_s").unwrap_or(SECOND);
@@ -352,13 +352,13 @@
             for forwarder in 0..self.day.forwarders.count {
                 while !self.clients.probe(forwarder, slice, writing.unwrap_or(0)).await {
                     if self.capture.now() > deadline {
-                        return Err(Fault::Failed(format!(
+                        return Err(LabError::Failed(format!(
                             "slice {slice} was never served by forwarder {forwarder}"
                         )));
                     }
                     for steward in &self.stewards {
-                        if steward.lock().await.as_mut().is_none_or(Process::ended) {
-                            return Err(Fault::Failed("a steward ended, see its log".to_owned()));
+                        if steward.lock().await.as_mut().is_none_or(Process::has_ended) {
+                            return Err(LabError::Failed("a steward ended, see its log".to_owned()));
                         }
                     }
                     tokio::time::sleep(std::time::Duration::from_millis(20)).await;
--- a/crates/lab/src/work/day.rs
+++ b/crates/lab/src/work/day.rs
@@ -293,13 +293,13 @@
 impl WorkDay {
     /// Returns true if the file holds a day of this kind.
     pub fn recognizes(path: &Path) -> bool {
-        crate::day::has(path, "work")
+        crate::day::has_entry(path, "work")
     }
 
     /// Reads and checks a day file. The error names the file and what was expected.
     pub fn load(path: &Path) -> Result<WorkDay, String> {
         let shown = path.display();
-        let day: WorkDay = crate::day::read(path)?;
+        let day: WorkDay = crate::day::read_yaml(path)?;
         let (stewards, sites) = (day.work.stewards, day.work.sites);
         if !(1..=9).contains(&stewards) || !(1..=200).contains(&sites) {
             return Err(format!("{shown}: expected 1 to 9 stewards and 1 to 200 sites"));
--- a/crates/lab/src/work/faults.rs
+++ b/crates/lab/src/work/faults.rs
@@ -11,8 +11,8 @@
 use super::play::{Fleet, InjectedFault, PREFIX};
 use crate::day::Span;
 use crate::links::Endpoint;
-use crate::processes::send;
-use crate::stage::Fault;
+use crate::processes::send_signal;
+use crate::stage::LabError;
 
 /// A process that a fault is injected into.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,18 +32,18 @@
 
 impl Fleet {
     /// Injects the day's faults, each when it is due. Returns the time at which the last has ended.
-    pub async fn inject_scheduled(self: Rc<Fleet>, began: Time) -> Result<Time, Fault> {
+    pub async fn inject_scheduled(self: Rc<Fleet>, began: Time) -> Result<Time, LabError> {
         let faults = self.day.faults.clone();
         self.inject_all(began, &faults).await
     }
 
     /// Injects these faults, with their times counted from now.
-    pub async fn inject_now(self: Rc<Fleet>, faults: Vec<ScheduledFault>) -> Result<Time, Fault> {
+    pub async fn inject_now(self: Rc<Fleet>, faults: Vec<ScheduledFault>) -> Result<Time, LabError> {
         let now = self.store.now();
         self.inject_all(now, &faults).await
     }
 
-    async fn inject_all(self: Rc<Fleet>, began: Time, faults: &[ScheduledFault]) -> Result<Time, Fault> {
+    async fn inject_all(self: Rc<Fleet>, began: Time, faults: &[ScheduledFault]) -> Result<Time, LabError> {
         let mut all: Vec<ScheduledFault> = Vec::new();
         for fault in faults {
             match &fault.what {
@@ -58,7 +58,7 @@
             running.push(spawn_local(self.clone().inject(fault.what)));
         }
         for task in running {
-            task.await.map_err(|e| Fault::Failed(e.to_string()))??;
+            task.await.map_err(|e| LabError::Failed(e.to_string()))??;
         }
         Ok(self.store.now())
     }
@@ -120,12 +120,12 @@
     async fn signal(&self, targets: &[Target], name: &str) {
         for target in targets {
             if let Some(id) = self.process_id(*target) {
-                send(id, name).await;
+                send_signal(id, name).await;
             }
         }
     }
 
-    async fn start(&self, target: Target) -> Result<(), Fault> {
+    async fn start(&self, target: Target) -> Result<(), LabError> {
         match target {
             Target::Steward(n) => self.start_steward(n).await,
             Target::Site(n) => self.start_site(n).await,
@@ -141,7 +141,7 @@
     }
 
     /// Injects one fault and returns once it has ended.
-    async fn inject(self: Rc<Fleet>, what: FaultKind) -> Result<(), Fault> {
+    async fn inject(self: Rc<Fleet>, what: FaultKind) -> Result<(), LabError> {
         match what {
             FaultKind::Kill { who, back } => {
                 let targets = self.resolve(&who);
--- a/crates/lab/src/work/measure.rs
+++ b/crates/lab/src/work/measure.rs
@@ -14,9 +14,9 @@
 use super::day::{Bounds, FaultKind, Jobs, ScheduledFault, Work, WorkDay};
 use super::play::{Fleet, PREFIX};
 use crate::day::Span;
-use crate::measure::quantiles;
+use crate::measure::format_quantiles;
 use crate::processes::Process;
-use crate::stage::Fault;
+use crate::stage::LabError;
 
 /// Seconds without jobs over which the idle load is measured.
 const IDLE_S: u64 = 20;
@@ -47,7 +47,7 @@
 }
 
 /// Starts a fleet and waits until it is ready.
-async fn open(day: WorkDay) -> Result<(Rc<Fleet>, tempfile::TempDir), Fault> {
+async fn open(day: WorkDay) -> Result<(Rc<Fleet>, tempfile::TempDir), LabError> {
     let dir = tempfile::tempdir()?;
     let (stewards, sites) = (day.work.stewards, day.work.sites);
     let fleet = Fleet::open(day, dir.path()).await?;
@@ -63,9 +63,9 @@
 
 /// Makes the leader of the jobs duty fail in the given way. Returns the seconds from then until another steward holds the
 /// duty at the store.
-async fn leader_change(fleet: &Rc<Fleet>, failure: &str) -> Result<f64, Fault> {
+async fn leader_change(fleet: &Rc<Fleet>, failure: &str) -> Result<f64, LabError> {
     let key = format!("{PREFIX}duty/jobs");
-    let leader = fleet.leader().ok_or_else(|| Fault::Failed("there is no leader".to_owned()))?;
+    let leader = fleet.leader().ok_or_else(|| LabError::Failed("there is no leader".to_owned()))?;
     let who = vec![format!("steward-{leader}")];
     let lasts = Span(8 * SECOND);
     let what = match failure {
@@ -104,17 +104,17 @@
             break if handed_over { other.at - released } else { other.at - from };
         }
         if Instant::now() >= until {
-            return Err(Fault::Failed(format!("{failure}: no other steward became leader")));
+            return Err(LabError::Failed(format!("{failure}: no other steward became leader")));
         }
         sleep(Duration::from_millis(5)).await;
     };
-    injection.await.map_err(|e| Fault::Failed(e.to_string()))??;
+    injection.await.map_err(|e| LabError::Failed(e.to_string()))??;
     fleet.wait_until_ready().await?;
     Ok(took as f64 / SECOND as f64)
 }
 
 /// Kills a site that holds a job. Returns the seconds until another site works on that job.
-async fn site_loss(fleet: &Rc<Fleet>, round: usize) -> Result<f64, Fault> {
+async fn site_loss(fleet: &Rc<Fleet>, round: usize) -> Result<f64, LabError> {
     let job = format!("probe-{round}");
     let spec = r#"{"user":"lender","steps":60,"step_ms":100}"#;
     fleet.store.put_key(&format!("{PREFIX}job/{job}"), spec);
@@ -134,7 +134,7 @@
             return Ok(found);
         }
         if Instant::now() >= until {
-            return Err(Fault::Failed(format!("no site works on {job}")));
+            return Err(LabError::Failed(format!("no site works on {job}")));
         }
         sleep(Duration::from_millis(5)).await;
     };
@@ -143,20 +143,20 @@
     let what = FaultKind::Kill { who: vec![site.clone()], back: Some(Span(6 * SECOND)) };
     let injection = spawn_local(fleet.clone().inject_now(vec![ScheduledFault { at: Span(0), what }]));
     let (at, _) = wait(from, Some(&site)).await?;
-    injection.await.map_err(|e| Fault::Failed(e.to_string()))??;
+    injection.await.map_err(|e| LabError::Failed(e.to_string()))??;
     fleet.wait_until_ready().await?;
     Ok((at - from) as f64 / SECOND as f64)
 }
 
 /// CPU seconds that these processes have used so far.
 fn cpu(processes: &[Option<Process>]) -> f64 {
-    processes.iter().flatten().map(Process::cpu).sum()
+    processes.iter().flatten().map(Process::cpu_seconds).sum()
 }
 
 /// Measures, for each number of stewards: the time without a leader by kind of failure, the time from the loss of a site
 /// until its job runs elsewhere, the throughput of jobs, and the idle load. Then measures the fail-over with many jobs at
 /// the store.
-pub async fn measure(counts: &[usize], rounds: usize) -> Result<(), Fault> {
+pub async fn measure(counts: &[usize], rounds: usize) -> Result<(), LabError> {
     let failures = ["killed", "stopped", "cut from the store", "cut from all else", "ended in order"];
     print_line(format_args!(
         "Leases of members and sites of 3 s, {rounds} times each; s as median / 99th / worst.\n\n\
@@ -172,13 +172,13 @@
             for _ in 0..rounds {
                 took.push(leader_change(&fleet, failure).await?);
             }
-            columns.push(quantiles(took, 2));
+            columns.push(format_quantiles(took, 2));
         }
         let mut took = Vec::new();
         for round in 0..rounds {
             took.push(site_loss(&fleet, round).await?);
         }
-        columns.push(quantiles(took, 2));
+        columns.push(format_quantiles(took, 2));
         print_line(format_args!("| {count} | {} |", columns.join(" | ")));
     }
     print_line(format_args!(
@@ -199,7 +199,7 @@
         fleet.clone().submit_jobs().await;
         while !fleet.all_finished() {
             if began.elapsed() > Duration::from_secs(120) {
-                return Err(Fault::Failed("the jobs did not finish in time".to_owned()));
+                return Err(LabError::Failed("the jobs did not finish in time".to_owned()));
             }
             sleep(Duration::from_millis(50)).await;
         }
@@ -234,7 +234,7 @@
 
 /// Returns the seconds from a leader's claim to its first line with this many jobs at the store: for the first leader, and
 /// for its successor after the first was killed.
-async fn claim_to_line_times(stewards: usize, jobs: usize) -> Result<[f64; 2], Fault> {
+async fn claim_to_line_times(stewards: usize, jobs: usize) -> Result<[f64; 2], LabError> {
     let dir = tempfile::tempdir()?;
     let fleet = Fleet::open(day(stewards, SITES, SITE_CAPACITY, Vec::new(), Vec::new()), dir.path()).await?;
     let spec = r#"{"user":"lender","steps":600,"step_ms":1000}"#;
@@ -250,7 +250,7 @@
     for (round, took) in took.iter_mut().enumerate() {
         if round > 0 {
             // All sites are full by now; the loss of one lets its jobs be assigned again.
-            let leader = fleet.leader().ok_or_else(|| Fault::Failed("there is no leader".to_owned()))?;
+            let leader = fleet.leader().ok_or_else(|| LabError::Failed("there is no leader".to_owned()))?;
             let who = vec![format!("steward-{leader}"), "site-0".to_owned()];
             known = fleet.store.revision();
             let what = FaultKind::Kill { who, back: None };
@@ -264,7 +264,7 @@
 
 /// Returns the seconds from the next claim of the jobs duty to the first line written after it. `known` is the last revision
 /// that was looked at.
-async fn claim_to_line(fleet: &Fleet, known: &mut i64) -> Result<f64, Fault> {
+async fn claim_to_line(fleet: &Fleet, known: &mut i64) -> Result<f64, LabError> {
     let (key, lines) = (format!("{PREFIX}duty/jobs"), format!("{PREFIX}line/"));
     let (until, mut claimed) = (Instant::now() + Duration::from_secs(60), None);
     while Instant::now() < until {
@@ -279,13 +279,13 @@
         }
         sleep(Duration::from_millis(5)).await;
     }
-    Err(Fault::Failed("no line was written".to_owned()))
+    Err(LabError::Failed("no line was written".to_owned()))
 }
 
 /// Compare-and-swap writes per second by one writer, one after the other, as a baseline.
-async fn sequential_writes_per_s(fleet: &Fleet) -> Result<f64, Fault> {
+async fn sequential_writes_per_s(fleet: &Fleet) -> Result<f64, LabError> {
     const WRITES: u32 = 500;
-    let failed = |why: String| Fault::Failed(why);
+    let failed = |why: String| LabError::Failed(why);
     let address = fleet.store.listen().await?;
     let client = ravenspar_etcd::Client::new(&[format!("http://{address}")], Duration::from_secs(2), 1);
     let store: ravenspar_store::SharedStore = std::sync::Arc::new(client.map_err(failed)?);
--- a/crates/lab/src/work/play.rs
+++ b/crates/lab/src/work/play.rs
@@ -22,7 +22,7 @@
 use crate::fleet::Verdict;
 use crate::links::{Endpoint, Link, Links, StreamProxy};
 use crate::processes::Process;
-use crate::stage::Fault;
+use crate::stage::LabError;
 
 /// How long the fleet may take to start; generous because the machine may be busy with other work.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(60);
@@ -68,7 +68,7 @@
 }
 
 /// Runs the day and judges it. Settings, logs and observations are written to `dir`.
-pub async fn play(day: WorkDay, dir: &Path) -> Result<Verdict, Fault> {
+pub async fn play(day: WorkDay, dir: &Path) -> Result<Verdict, LabError> {
     ravenspar::print_line(&day.about);
     let fleet = Fleet::open(day, dir).await?;
     for n in 0..fleet.day.work.stewards {
@@ -82,7 +82,7 @@
     let began = fleet.store.now();
     let submitting = spawn_local(fleet.clone().submit_jobs());
     let last = fleet.clone().inject_scheduled(began).await?;
-    submitting.await.map_err(|e| Fault::Failed(e.to_string()))?;
+    submitting.await.map_err(|e| LabError::Failed(e.to_string()))?;
     let last = last.max(fleet.store.now());
     let until = last + fleet.day.judge.finished_within.0;
     while !(fleet.all_finished() && fleet.all_uses_folded()) && fleet.store.now() < until {
@@ -108,7 +108,7 @@
 
 impl Fleet {
     /// Starts the store, the effects service and the proxies, but no process yet.
-    pub async fn open(day: WorkDay, dir: &Path) -> Result<Rc<Fleet>, Fault> {
+    pub async fn open(day: WorkDay, dir: &Path) -> Result<Rc<Fleet>, LabError> {
         std::fs::write(
             dir.join("servers.yaml"),
             "servers:\n  - {id: a, zone: z, address: \"127.0.0.1:9\"}\n",
@@ -182,7 +182,7 @@
     }
 
     /// Writes the steward's settings and starts its process.
-    pub async fn start_steward(&self, n: usize) -> Result<(), Fault> {
+    pub async fn start_steward(&self, n: usize) -> Result<(), LabError> {
         let work = &self.day.work;
         let millis = |span: crate::day::Span| format!("{}ms", span.0 / 10);
         let settings = format!(
@@ -228,13 +228,13 @@
         }
         self.starts.borrow_mut()[n] += 1;
         let mut process = Process::start(args, &self.dir.join(format!("steward-{n}.log"))).await?;
-        self.agent_listeners[n].set(Some(process.agents().await?));
+        self.agent_listeners[n].set(Some(process.read_agent_address().await?));
         self.stewards.borrow_mut()[n] = Some(process);
         Ok(())
     }
 
     /// Starts the process of a site's agent.
-    pub async fn start_site(&self, m: usize) -> Result<(), Fault> {
+    pub async fn start_site(&self, m: usize) -> Result<(), LabError> {
         let work = &self.day.work;
         let mut args: Vec<OsString> = vec!["agent".into()];
         let dir = self.dir.join(format!("site-{m}"));
@@ -277,7 +277,7 @@
                 let (ended, stopped) = {
                     let mut stewards = self.stewards.borrow_mut();
                     let Some(process) = &mut stewards[n] else { continue };
-                    (process.ended(), process.is_stopped())
+                    (process.has_ended(), process.is_stopped())
                 };
                 let (what, lasts) = match (ended, stopped) {
                     (true, _) => ("killed", RESTART_DELAY),
@@ -301,7 +301,7 @@
                     } else {
                         let id = fleet.stewards.borrow()[n].as_ref().and_then(Process::id);
                         if let Some(id) = id {
-                            crate::processes::send(id, "CONT").await;
+                            crate::processes::send_signal(id, "CONT").await;
                         }
                     }
                 });
@@ -328,15 +328,15 @@
             who,
         });
         sleep(duration(lasts)).await;
-        crate::processes::send(id, "CONT").await;
+        crate::processes::send_signal(id, "CONT").await;
     }
 
     /// Waits until the fleet is ready, up to [`STARTUP_TIMEOUT`].
-    pub async fn wait_until_ready(&self) -> Result<(), Fault> {
+    pub async fn wait_until_ready(&self) -> Result<(), LabError> {
         let began = std::time::Instant::now();
         while !self.is_ready() {
             if began.elapsed() > STARTUP_TIMEOUT {
-                return Err(Fault::Failed(
+                return Err(LabError::Failed(
                     "the fleet did not become ready in time, see the logs of its processes".to_owned(),
                 ));
             }
