--- a/crates/ravenspar/src/process.rs
+++ b/crates/ravenspar/src/process.rs
@@ -4,7 +4,7 @@
 
 use ravenspar_net::Clock;
 use ravenspar_record::ServerRow;
-use ravenspar_sharing::counted::StewardCount;
+use ravenspar_sharing::steward_count::StewardCount;
 use ravenspar_steward::LiveNumber;
 use tokio::net::TcpListener;
 use tokio::signal::unix::Signal;
@@ -42,7 +42,7 @@
     /// The view of the fleet, if one is configured.
     pub fleet: Option<Fleet>,
     /// The number of stewards that decisions divide by, where the view provides it.
-    pub counted: Option<(StewardCount, LiveNumber)>,
+    pub steward_count: Option<(StewardCount, LiveNumber)>,
     /// The last list received.
     pub last_list: Vec<ServerRow>,
 }
--- a/crates/ravenspar/src/serve.rs
+++ b/crates/ravenspar/src/serve.rs
@@ -5,7 +5,7 @@
 
 use ravenspar_host::{Host, Server};
 use ravenspar_record::{Record, ServerRow, SliceRow};
-use ravenspar_sharing::counted::StewardCount;
+use ravenspar_sharing::steward_count::StewardCount;
 use ravenspar_steward::{Health, LiveNumber, Time};
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::mpsc;
@@ -88,7 +88,7 @@
             Some(std::sync::Arc::new(listener))
         }
     };
-    let counted = cfg.fleet.as_ref().and(cfg.share.as_ref()).map(|_| {
+    let steward_count = cfg.fleet.as_ref().and(cfg.share.as_ref()).map(|_| {
         let planned = cfg.map.number("balancers").unwrap_or(1.0);
         let live = LiveNumber::new(planned);
         cfg.map.set_live("balancers", live.clone());
@@ -106,7 +106,7 @@
         failpoint,
         agents,
         fleet,
-        counted,
+        steward_count,
         last_list: contents.servers,
     };
     let served = match &cfg.share {
--- a/crates/ravenspar/src/sharing.rs
+++ b/crates/ravenspar/src/sharing.rs
@@ -2,7 +2,7 @@
 
 use ravenspar_host::AssignedSlice;
 use ravenspar_notes::kind;
-use ravenspar_sharing::useful::excluded_members;
+use ravenspar_sharing::resting::excluded_members;
 use ravenspar_sharing::Step;
 use ravenspar_steward::{Time, SECOND};
 
@@ -133,7 +133,7 @@
         let now = self.clock.now();
         let slow = self.pace.record_wakeup(now);
         let Some(shared) = self.shared.as_mut() else { return };
-        let resting = shared.useful.look(now, own, others) || slow;
+        let resting = shared.rest_detector.update(now, own, others) || slow;
         if resting != std::mem::replace(&mut shared.resting, resting) {
             tracing::warn!(resting, own, ?others, slow, "forwarders reached here and by the others");
             shared.session.announce_resting(resting);
@@ -144,10 +144,10 @@
     /// number.
     pub fn update_steward_count(&mut self, in_view: Option<usize>) {
         let now = self.clock.now();
-        let Some((counted, live)) = &mut self.process.counted else { return };
+        let Some((steward_count, live)) = &mut self.process.steward_count else { return };
         let in_store =
             self.shared.as_ref().filter(|shared| !shared.store_unavailable).map(|shared| shared.members);
-        let (before, count) = (live.get(), counted.look(now, in_view, in_store));
+        let (before, count) = (live.get(), steward_count.update(now, in_view, in_store));
         if before != count as f64 {
             tracing::info!(before, count, "stewards that the decisions divide by");
             live.set(count as f64);
--- a/crates/ravenspar/src/state.rs
+++ b/crates/ravenspar/src/state.rs
@@ -6,7 +6,7 @@
 use ravenspar_duty::Pace;
 use ravenspar_host::Host;
 use ravenspar_net::Clock;
-use ravenspar_sharing::useful::RestDetector;
+use ravenspar_sharing::resting::RestDetector;
 use ravenspar_sharing::Step;
 use ravenspar_steward::Time;
 use tokio::sync::mpsc;
@@ -97,7 +97,7 @@
     pub new_assignments: AssignmentBatch,
     pub store_unavailable: bool,
     /// Tells whether this steward reaches the forwarders that other stewards reach.
-    pub useful: RestDetector,
+    pub rest_detector: RestDetector,
     pub resting: bool,
     /// The number of members in the last snapshot of the store.
     pub members: usize,
@@ -119,7 +119,7 @@
             members: 0,
             names: BTreeSet::new(),
             unassigned_since: None,
-            useful: RestDetector::default(),
+            rest_detector: RestDetector::default(),
             resting: false,
         }
     }
--- a/crates/ravenspar/src/work/duties.rs
+++ b/crates/ravenspar/src/work/duties.rs
@@ -75,7 +75,7 @@
             .iter()
             .filter(|(incarnation, _)| **incarnation != self.context.incarnation);
         let others: Vec<u32> = others.map(|(_, peer)| peer.sites as u32).collect();
-        let reaches_few = self.rest_detector.look(now, sites as u32, Some(&others));
+        let reaches_few = self.rest_detector.update(now, sites as u32, Some(&others));
         let ranking = (self.debt_tracker.revision() > 0).then(|| {
             let digest =
                 self.debt_tracker.ledger().digest().iter().map(|byte| format!("{byte:02x}")).collect();
--- a/crates/ravenspar/src/work/mod.rs
+++ b/crates/ravenspar/src/work/mod.rs
@@ -20,7 +20,7 @@
 use ravenspar_duty::{Duties, Duty, Leadership, Pace, Step, Term};
 use ravenspar_jobs::{AgentSessions, JobLine, Scheduler, Token, Write};
 use ravenspar_net::Clock;
-use ravenspar_sharing::useful::RestDetector;
+use ravenspar_sharing::resting::RestDetector;
 use ravenspar_sharing::Incarnation;
 use ravenspar_steward::{Time, SECOND};
 use ravenspar_store::{FencedWriter, SharedStore};
--- a/crates/sharing/src/lib.rs
+++ b/crates/sharing/src/lib.rs
@@ -5,11 +5,11 @@
 //! over to it. [`membership::Membership`] tracks how long a steward may rely on its own membership.
 //! `docs/design/sharing.md` explains the design.
 
-pub mod counted;
 mod fleet;
 pub mod membership;
+pub mod resting;
 pub mod shares;
-pub mod useful;
+pub mod steward_count;
 
 pub use fleet::{Fleet, Step};
 
--- a/crates/sharing/src/useful.rs
+++ b/crates/sharing/src/resting.rs
@@ -26,7 +26,7 @@
 
     /// Takes the numbers of forwarders that this steward and each of the other stewards reach; `others` is `None` while
     /// the other stewards are unknown, as the view is changing or no steward answers. Returns true if the steward rests.
-    pub fn look(&mut self, now: Time, own: u32, others: Option<&[u32]>) -> bool {
+    pub fn update(&mut self, now: Time, own: u32, others: Option<&[u32]>) -> bool {
         let Some(others) = others else {
             // Earlier observations may have been caused by the same fault.
             self.since = None;
@@ -81,37 +81,43 @@
     #[test]
     fn a_steward_that_reaches_less_than_half_rests_and_returns_after_a_longer_time() {
         let mut detector = RestDetector::default();
-        assert!(!detector.look(0, 4, Some(&[10, 10, 9])));
-        assert!(!detector.look(2 * SECOND, 4, Some(&[10, 10, 9])));
-        assert!(detector.look(3 * SECOND, 4, Some(&[10, 10, 9])));
+        assert!(!detector.update(0, 4, Some(&[10, 10, 9])));
+        assert!(!detector.update(2 * SECOND, 4, Some(&[10, 10, 9])));
+        assert!(detector.update(3 * SECOND, 4, Some(&[10, 10, 9])));
         assert!(
-            detector.look(20 * SECOND, 6, Some(&[10, 10, 9])),
+            detector.update(20 * SECOND, 6, Some(&[10, 10, 9])),
             "the state is kept between half and three quarters"
         );
-        assert!(detector.look(21 * SECOND, 8, Some(&[10, 10, 9])));
-        assert!(detector.look(25 * SECOND, 6, Some(&[10, 10, 9])), "reachability was good only for a moment");
-        assert!(detector.look(26 * SECOND, 8, Some(&[10, 10, 9])));
-        assert!(!detector.look(36 * SECOND, 8, Some(&[10, 10, 9])));
+        assert!(detector.update(21 * SECOND, 8, Some(&[10, 10, 9])));
+        assert!(
+            detector.update(25 * SECOND, 6, Some(&[10, 10, 9])),
+            "reachability was good only for a moment"
+        );
+        assert!(detector.update(26 * SECOND, 8, Some(&[10, 10, 9])));
+        assert!(!detector.update(36 * SECOND, 8, Some(&[10, 10, 9])));
     }
 
     #[test]
     fn a_fault_of_all_stewards_or_a_single_outlier_report_makes_no_steward_rest() {
         let mut detector = RestDetector::default();
         for second in 0..60 {
-            assert!(!detector.look(second * SECOND, 0, Some(&[0, 0, 0, 0])));
-            assert!(!detector.look(second * SECOND, 10, Some(&[10, 10, 4_000_000_000])));
-            assert!(!detector.look(second * SECOND, 0, Some(&[])));
+            assert!(!detector.update(second * SECOND, 0, Some(&[0, 0, 0, 0])));
+            assert!(!detector.update(second * SECOND, 10, Some(&[10, 10, 4_000_000_000])));
+            assert!(!detector.update(second * SECOND, 0, Some(&[])));
         }
     }
 
     #[test]
     fn time_in_which_the_fleet_is_unknown_does_not_count() {
         let mut detector = RestDetector::default();
-        assert!(!detector.look(0, 0, Some(&[10, 10])));
-        assert!(!detector.look(2 * SECOND, 0, None));
-        assert!(!detector.look(4 * SECOND, 0, Some(&[10, 10])));
-        assert!(detector.look(7 * SECOND, 0, Some(&[10, 10])));
-        assert!(detector.look(60 * SECOND, 10, None), "it rests until its reachability is known to be good");
+        assert!(!detector.update(0, 0, Some(&[10, 10])));
+        assert!(!detector.update(2 * SECOND, 0, None));
+        assert!(!detector.update(4 * SECOND, 0, Some(&[10, 10])));
+        assert!(detector.update(7 * SECOND, 0, Some(&[10, 10])));
+        assert!(
+            detector.update(60 * SECOND, 10, None),
+            "it rests until its reachability is known to be good"
+        );
     }
 
     #[test]
@@ -119,18 +125,18 @@
         let mut detector = RestDetector::default();
         for second in 0..60 {
             // Forwarders are unreachable every other second.
-            assert!(!detector.look(second * SECOND, if second % 2 == 0 { 0 } else { 10 }, Some(&[10, 10])));
+            assert!(!detector.update(second * SECOND, if second % 2 == 0 { 0 } else { 10 }, Some(&[10, 10])));
         }
     }
 
     proptest! {
         #[test]
         fn at_least_half_of_the_staying_members_get_shares(members in prop::collection::vec((any::<u64>(), any::<bool>(), any::<bool>()), 0..30)) {
-            let dealt = excluded_members(&members);
+            let excluded = excluded_members(&members);
             let stay = members.iter().filter(|(_, leaving, _)| !leaving).count();
-            let left = dealt.iter().filter(|(_, none)| !none).count();
+            let left = excluded.iter().filter(|(_, none)| !none).count();
             prop_assert!(2 * left >= stay);
-            for ((_, leaving, _), (_, none)) in members.iter().zip(&dealt) {
+            for ((_, leaving, _), (_, none)) in members.iter().zip(&excluded) {
                 prop_assert!(*none || !*leaving);
             }
         }
--- a/crates/sharing/src/counted.rs
+++ b/crates/sharing/src/steward_count.rs
@@ -32,7 +32,7 @@
 
     /// Takes the number of stewards in the view (`None` while it is not settled) and the number of members in the store
     /// (`None` while it does not answer). Returns the number to use.
-    pub fn look(&mut self, now: Time, view: Option<usize>, store: Option<usize>) -> usize {
+    pub fn update(&mut self, now: Time, view: Option<usize>, store: Option<usize>) -> usize {
         let (least, most) = self.bounds();
         let agreed = view.filter(|_| view == store).map(|count| count.clamp(least, most));
         let Some(count) = agreed.filter(|count| *count != self.count) else {
@@ -61,13 +61,13 @@
     #[test]
     fn the_count_follows_view_and_store_once_they_agree_for_long_enough() {
         let mut stewards = StewardCount::new(3);
-        assert_eq!(stewards.look(0, Some(5), Some(5)), 3);
-        assert_eq!(stewards.look(14 * SECOND, Some(5), Some(5)), 3);
-        assert_eq!(stewards.look(15 * SECOND, Some(5), Some(5)), 5);
-        assert_eq!(stewards.look(16 * SECOND, Some(1), Some(1)), 5);
-        assert_eq!(stewards.look(31 * SECOND, Some(1), Some(1)), 2, "not below half of the planned number");
-        assert_eq!(stewards.look(32 * SECOND, Some(9), Some(9)), 2);
-        assert_eq!(stewards.look(47 * SECOND, Some(9), Some(9)), 6, "not above twice the planned number");
+        assert_eq!(stewards.update(0, Some(5), Some(5)), 3);
+        assert_eq!(stewards.update(14 * SECOND, Some(5), Some(5)), 3);
+        assert_eq!(stewards.update(15 * SECOND, Some(5), Some(5)), 5);
+        assert_eq!(stewards.update(16 * SECOND, Some(1), Some(1)), 5);
+        assert_eq!(stewards.update(31 * SECOND, Some(1), Some(1)), 2, "not below half of the planned number");
+        assert_eq!(stewards.update(32 * SECOND, Some(9), Some(9)), 2);
+        assert_eq!(stewards.update(47 * SECOND, Some(9), Some(9)), 6, "not above twice the planned number");
     }
 
     #[test]
@@ -76,15 +76,19 @@
         for second in 0..100 {
             let now = second * SECOND;
             // The store still has the members of the other side.
-            assert_eq!(stewards.look(now, Some(2), Some(5)), 5);
+            assert_eq!(stewards.update(now, Some(2), Some(5)), 5);
         }
         for second in 100..200 {
             let now = second * SECOND;
             let settled = (second % 10 != 0).then_some(4);
-            assert_eq!(stewards.look(now, settled, Some(4)), 5, "the view was never settled for long enough");
+            assert_eq!(
+                stewards.update(now, settled, Some(4)),
+                5,
+                "the view was never settled for long enough"
+            );
         }
         for second in 200..300 {
-            assert_eq!(stewards.look(second * SECOND, Some(4), None), 5);
+            assert_eq!(stewards.update(second * SECOND, Some(4), None), 5);
         }
     }
 
@@ -92,14 +96,14 @@
         #[test]
         fn the_count_stays_within_its_bounds(
             planned in 0..70usize,
-            looks in prop::collection::vec((0..200 * SECOND, prop::option::of(0..99usize), prop::option::of(0..99usize)), 0..50),
+            updates in prop::collection::vec((0..200 * SECOND, prop::option::of(0..99usize), prop::option::of(0..99usize)), 0..50),
         ) {
             let mut stewards = StewardCount::new(planned);
             let (least, most) = stewards.bounds();
             let mut now = 0;
-            for (span, view, store) in looks {
+            for (span, view, store) in updates {
                 now += span;
-                let count = stewards.look(now, view, store);
+                let count = stewards.update(now, view, store);
                 prop_assert!(count >= 1 && (least..=most).contains(&count));
             }
         }
--- a/crates/sharing/tests/explore/events.rs
+++ b/crates/sharing/tests/explore/events.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeSet, VecDeque};
 
-use ravenspar_sharing::useful::{excluded_members, MemberState};
+use ravenspar_sharing::resting::{excluded_members, MemberState};
 use ravenspar_sharing::Step;
 
 use super::world::{
