--- a/crates/platform-net/src/serve.rs
+++ b/crates/platform-net/src/serve.rs
@@ -57,7 +57,7 @@
     last_call: u64,
     /// The last subscription whose snapshot was logged as complete.
     logged_subscription: u64,
-    /// Why the last unusable message since the last status line could not be used.
+    /// Why the last invalid report since the last status line was dropped.
     last_error: Option<String>,
 }
 
@@ -303,7 +303,7 @@
             list_version = metrics.list_version.unwrap_or(0),
             list_age_ms = age(metrics.last_list),
             news_age_ms = age(metrics.last_notification),
-            spoilt = metrics.spoilt,
+            spoilt = metrics.invalid_messages,
             last_spoilt = self.last_error.take().unwrap_or_default(),
             calls_lost = metrics.lost,
             orders_refused = metrics.refused,
--- a/crates/platform/src/session.rs
+++ b/crates/platform/src/session.rs
@@ -46,8 +46,8 @@
     pub list_version: Option<u64>,
     pub last_list: Option<Time>,
     pub last_notification: Option<Time>,
-    /// Totals since the start: unusable messages, lost calls, refused orders.
-    pub spoilt: u64,
+    /// Totals since the start: invalid messages of collectors, lost calls, refused orders.
+    pub invalid_messages: u64,
     pub lost: u64,
     pub refused: u64,
     /// The current hold of decisions, if there is one.
--- a/crates/platform/src/session/reports.rs
+++ b/crates/platform/src/session/reports.rs
@@ -1,4 +1,4 @@
-//! Handling of the collectors' reports. An unusable report is dropped and affects no other.
+//! Handling of the collectors' reports. An invalid report is dropped and affects no other.
 
 use ravenspar_steward::Time;
 use serde_json::Value;
@@ -7,11 +7,11 @@
 use crate::fields::{self, DecodeError};
 
 impl Session {
-    /// Applies a collector's report. An unusable one is counted and dropped.
+    /// Applies a collector's report. An invalid one is counted and dropped.
     pub fn handle_report(&mut self, now: Time, report: &Value) -> Result<(), DecodeError> {
-        let done = self.report(now, report);
-        self.metrics.spoilt += u64::from(done.is_err());
-        done
+        let result = self.report(now, report);
+        self.metrics.invalid_messages += u64::from(result.is_err());
+        result
     }
 
     fn report(&mut self, now: Time, report: &Value) -> Result<(), DecodeError> {
--- a/crates/platform/src/session/tests/reports.rs
+++ b/crates/platform/src/session/tests/reports.rs
@@ -69,7 +69,7 @@
         invalid["util"] = util;
         assert!(harness.session.handle_report(harness.now, &invalid).is_err(), "{invalid}");
     }
-    let invalid = harness.session.metrics().spoilt;
+    let invalid = harness.session.metrics().invalid_messages;
     assert_eq!(invalid, (8 + 6) * bad.len() as u64 - 1 + 3);
 }
 
