--- a/crates/platform/tests/liveness/main.rs
+++ b/crates/platform/tests/liveness/main.rs
@@ -166,8 +166,8 @@
     assert_eq!((world.pending_revokes(), world.violation.as_deref()), (0, None));
 }
 
-/// A failure that was measured on the landing: acknowledgements of an update that nearly fills the channel are sent
-/// in a gap.
+/// Acknowledgements of an update that nearly fills the channel are sent while the subscription is silent, and are never
+/// received. The update counted as still waiting in the channel, which held up the revokes of later drains.
 #[test]
 fn acknowledgements_lost_in_a_gap_delay_no_drain() {
     let stall = |from, duration| (from, duration, Fault::SubscriptionStalled);
--- a/crates/ravenspar/tests/leaving.rs
+++ b/crates/ravenspar/tests/leaving.rs
@@ -69,7 +69,7 @@
         .any(|member| member["name"] == name && (member["state"] == "in" || member["state"] == "suspect"))
 }
 
-/// Returns the requests that a running steward makes of the store in this time: four looks a second, and a
+/// Returns the requests that a running steward makes of the store in this time: four polls a second, and a
 /// renewal each fifth of its lease.
 fn expected_requests(span: Duration) -> u64 {
     (span.as_secs_f64() * (4.0 + 5.0 / LEASE_S as f64)).ceil() as u64
@@ -109,8 +109,8 @@
     );
 }
 
-/// Whatever the store does, and whether the steward's heir is stopped or not, a leaving steward exits in
-/// order within the stated time (`docs/design/sharing.md`), and sends no more requests than its pauses allow.
+/// Whatever the store does, and whether or not the steward's successor is stopped, a leaving steward exits in order
+/// within the stated time (`docs/design/sharing.md`), and sends no more requests than its pauses allow.
 #[test]
 fn a_leaving_steward_exits_within_its_bound_whatever_the_store_does() {
     let slow = |millis| Faults { slow: Duration::from_millis(millis), ..Faults::default() };
@@ -123,14 +123,16 @@
     ];
     let cases = faults.into_iter().flat_map(|faults| [(faults.clone(), false), (faults, true)]);
     let cases_running: Vec<_> = cases
-        .map(|(faults, heir_stops)| std::thread::spawn(move || leave_under_faults(faults, heir_stops)))
+        .map(|(faults, successor_stops)| {
+            std::thread::spawn(move || leave_under_faults(faults, successor_stops))
+        })
         .collect();
     for case in cases_running {
         case.join().expect("the case passes");
     }
 }
 
-fn leave_under_faults(faults: Faults, heir_stops: bool) {
+fn leave_under_faults(faults: Faults, successor_stops: bool) {
     /// The bounds of handing over slices and membership, and of the last call.
     const BOUND: Duration = Duration::from_secs(10 + 1);
     /// Requests for the outcomes of transactions whose answers were lost: of a store message, of lines and of
@@ -141,17 +143,17 @@
     let (one, two) = (settings(&dir, "one", at, None), settings(&dir, "two", at, None));
     let ((mut first, _proxy), (second, _other)) = start_sharing(&one, &two);
     store.set_faults(faults.clone());
-    if heir_stops {
+    if successor_stops {
         second.signal("STOP");
     }
     let (before, started) = (store.requests(), Instant::now());
     first.signal("TERM");
     let code = first.wait_exit().code();
     let (requests, took) = (store.requests() - before, started.elapsed());
-    if heir_stops {
+    if successor_stops {
         second.signal("CONT");
     }
-    println!("{faults:?}, heir stops: {heir_stops}: {code:?} after {took:?}, {requests} requests");
+    println!("{faults:?}, successor stops: {successor_stops}: {code:?} after {took:?}, {requests} requests");
     assert_eq!(code, Some(0), "{faults:?}");
     assert!(took < BOUND, "{faults:?}: {took:?}");
     // Two stewards, each call tried twice.
