--- a/crates/debt/src/ledger.rs
+++ b/crates/debt/src/ledger.rs
@@ -127,17 +127,17 @@
 }
 
 /// The part used divided by the part due, in units of 2^-32; the maximum if something was used and nothing is due.
-fn relative_use(used: u128, of: u128, weight: u128, weights: u128) -> u128 {
-    if used == 0 || of == 0 {
+fn relative_use(used: u128, total: u128, weight: u128, total_weight: u128) -> u128 {
+    if used == 0 || total == 0 {
         return 0;
     }
     if weight == 0 {
         return u128::from(u64::MAX);
     }
     // Shift both sides alike where the product would overflow.
-    let shift = (128 - used.max(of).leading_zeros()).saturating_sub(60);
-    let part = (used >> shift) * UNIT_DEBT / (of >> shift).max(1);
-    (part.saturating_mul(weights) / weight).min(u128::from(u64::MAX))
+    let shift = (128 - used.max(total).leading_zeros()).saturating_sub(60);
+    let part = (used >> shift) * UNIT_DEBT / (total >> shift).max(1);
+    (part.saturating_mul(total_weight) / weight).min(u128::from(u64::MAX))
 }
 
 impl Ledger {
--- a/crates/jobs/src/scheduler.rs
+++ b/crates/jobs/src/scheduler.rs
@@ -172,15 +172,15 @@
     }
 
     /// The debt of a user including its held jobs.
-    fn owes(&self, user: &str) -> Option<u64> {
+    fn debt_with_held_jobs(&self, user: &str) -> Option<u64> {
         let held = self.held_by_user.get(user).copied().unwrap_or(0) as u64;
         Some(self.debts.get(user)?.saturating_add(held.saturating_mul(self.mean)))
     }
 
     /// Adds a user to the order by debt, or takes it out.
     fn update_order(&mut self, user: &str, insert: bool) {
-        if let Some(owes) = self.owes(user) {
-            let debt_and_user = (owes, user.to_owned());
+        if let Some(debt) = self.debt_with_held_jobs(user) {
+            let debt_and_user = (debt, user.to_owned());
             let _ =
                 if insert { self.by_debt.insert(debt_and_user) } else { self.by_debt.remove(&debt_and_user) };
         }
@@ -359,14 +359,14 @@
         waiting
     }
 
-    /// Returns the next lines to write, in one transaction; none while another one is under way. `owes` returns a
+    /// Returns the next lines to write, in one transaction; none while another one is under way. `ranked_debt` returns a
     /// user's debt by the ranking in use.
-    pub fn next(&mut self, now: Time, owes: impl Fn(&str) -> u64) -> Vec<Write> {
+    pub fn next(&mut self, now: Time, ranked_debt: impl Fn(&str) -> u64) -> Vec<Write> {
         if self.write_pending {
             return Vec::new();
         }
         for user in std::mem::take(&mut self.unranked) {
-            let debt = owes(&user);
+            let debt = ranked_debt(&user);
             self.debts.insert(user.clone(), debt);
             self.update_order(&user, true);
         }
--- a/crates/lab/src/fleet/judge.rs
+++ b/crates/lab/src/fleet/judge.rs
@@ -11,7 +11,7 @@
     /// Milliseconds since the start of the day.
     pub at: u64,
     /// The steward's number.
-    pub of: usize,
+    pub steward: usize,
     /// How often the steward had been started.
     pub start: u64,
     pub digest: u64,
@@ -50,9 +50,10 @@
 
     /// The verdict on a fleet that didn't converge at the start.
     pub fn never_converged(samples: &[ViewSample]) -> Verdict {
-        let last: BTreeMap<usize, &ViewSample> = samples.iter().map(|sample| (sample.of, sample)).collect();
+        let last: BTreeMap<usize, &ViewSample> =
+            samples.iter().map(|sample| (sample.steward, sample)).collect();
         let shows = |sample: &&ViewSample| {
-            format!("steward-{} shows {:?}", sample.of, sample.shown.keys().collect::<Vec<_>>())
+            format!("steward-{} shows {:?}", sample.steward, sample.shown.keys().collect::<Vec<_>>())
         };
         let violations = last.values().map(shows).chain(["no faults were injected".to_owned()]).collect();
         Verdict::of(vec![("V1 settles", "at the start".to_owned(), violations)])
@@ -119,11 +120,12 @@
             let expected: Vec<usize> =
                 group.iter().copied().filter(|n| !day.judge.unreliable_members.contains(n)).collect();
             // The sample nearest to the checkpoint.
-            let of = |n: usize| {
-                let near = samples.iter().filter(|sample| sample.of == n);
+            let nearest_sample = |n: usize| {
+                let near = samples.iter().filter(|sample| sample.steward == n);
                 near.min_by_key(|sample| (sample.at.abs_diff(check.at), sample.at))
             };
-            let nearest: Vec<(usize, Option<&ViewSample>)> = expected.iter().map(|&n| (n, of(n))).collect();
+            let nearest: Vec<(usize, Option<&ViewSample>)> =
+                expected.iter().map(|&n| (n, nearest_sample(n))).collect();
             groups += 1;
             let is_unreliable =
                 |shown: &str| day.judge.unreliable_members.iter().any(|&n| steward_name(n) == shown);
@@ -137,7 +139,7 @@
             };
             // Settling took until the last sample of any of them that showed something else.
             let within = |sample: &&ViewSample| {
-                sample.at >= check.since && sample.at <= check.at && expected.contains(&sample.of)
+                sample.at >= check.since && sample.at <= check.at && expected.contains(&sample.steward)
             };
             let late = samples
                 .iter()
@@ -181,17 +183,18 @@
     // V2: stewards without a fault keep each other in their views, with the same incarnation.
     let mut violations = Vec::new();
     let mut first: BTreeMap<(usize, String), u64> = BTreeMap::new();
-    for sample in samples.iter().filter(|sample| sample.at >= settled && unaffected.contains(&sample.of)) {
+    for sample in samples.iter().filter(|sample| sample.at >= settled && unaffected.contains(&sample.steward))
+    {
         for &other in &unaffected {
             let Some(incarnation) = sample.shown.get(&steward_name(other)) else {
                 violations.push(format!(
                     "{:.1} s: steward-{} dropped steward-{other}",
                     seconds(sample.at),
-                    sample.of
+                    sample.steward
                 ));
                 continue;
             };
-            let known = *first.entry((sample.of, steward_name(other))).or_insert(*incarnation);
+            let known = *first.entry((sample.steward, steward_name(other))).or_insert(*incarnation);
             if known != *incarnation {
                 violations.push(format!(
                     "{:.1} s: steward-{other} had to take another incarnation",
@@ -212,7 +215,7 @@
     // If faults affected all stewards, those that were never restarted are judged.
     let never_restarted = |n: &usize| {
         let unreliable = day.judge.unreliable_members.contains(n) || day.fleet.started_later.contains(n);
-        !unreliable && samples.iter().filter(|sample| sample.of == *n).all(|sample| sample.start == 1)
+        !unreliable && samples.iter().filter(|sample| sample.steward == *n).all(|sample| sample.start == 1)
     };
     let judged: Vec<usize> = match unaffected.is_empty() {
         true => (0..day.fleet.stewards).filter(never_restarted).collect(),
@@ -221,7 +224,7 @@
     for &n in &judged {
         let mut digests: Vec<u64> = samples
             .iter()
-            .filter(|sample| sample.of == n && sample.at >= settled)
+            .filter(|sample| sample.steward == n && sample.at >= settled)
             .map(|sample| sample.digest)
             .collect();
         digests.dedup();
@@ -242,12 +245,12 @@
     let mut gone: BTreeMap<(usize, u64, String), u64> = BTreeMap::new();
     for sample in samples {
         for (name, incarnation) in &sample.shown {
-            let key = (sample.of, sample.start, name.clone());
+            let key = (sample.steward, sample.start, name.clone());
             if gone.get(&key).is_some_and(|gone| incarnation <= gone) {
                 violations.push(format!(
                     "{:.1} s: steward-{} shows {name} again",
                     seconds(sample.at),
-                    sample.of
+                    sample.steward
                 ));
             }
         }
@@ -256,7 +259,7 @@
         for (name, incarnation) in
             sample.gone.iter().filter(|(name, incarnation)| sample.shown.get(*name) != Some(*incarnation))
         {
-            let known = gone.entry((sample.of, sample.start, name.clone())).or_insert(0);
+            let known = gone.entry((sample.steward, sample.start, name.clone())).or_insert(0);
             *known = (*known).max(*incarnation);
         }
     }
--- a/crates/lab/src/fleet/measure.rs
+++ b/crates/lab/src/fleet/measure.rs
@@ -120,7 +120,7 @@
 fn seconds_until_dropped(fleet: &Fleet, by: usize, gone: usize, from: u64) -> f64 {
     let name = format!("steward-{gone}");
     let samples = fleet.samples.borrow();
-    let mut seen = samples.iter().filter(|sample| sample.of == by && sample.at >= from);
+    let mut seen = samples.iter().filter(|sample| sample.steward == by && sample.at >= from);
     seconds(seen.find(|sample| !sample.shown.contains_key(&name)).map_or(u64::MAX, |sample| sample.at) - from)
 }
 
--- a/crates/lab/src/fleet/play.rs
+++ b/crates/lab/src/fleet/play.rs
@@ -76,7 +76,7 @@
 fn to_json_lines(samples: &[ViewSample]) -> String {
     let line = |sample: &ViewSample| {
         serde_json::json!({
-            "at_ms": sample.at, "of": sample.of, "start": sample.start, "digest": format!("{:016x}", sample.digest),
+            "at_ms": sample.at, "of": sample.steward, "start": sample.start, "digest": format!("{:016x}", sample.digest),
             "settled": sample.settled, "cut_off": sample.cut_off, "shown": sample.shown, "lost": sample.gone,
         })
         .to_string()
@@ -217,7 +217,7 @@
             }
             let sample = ViewSample {
                 at: self.datagrams.now(),
-                of: n,
+                steward: n,
                 start,
                 digest: answer.view.digest,
                 settled: answer.view.settled,
@@ -233,7 +233,7 @@
     fn has_converged(&self, members: &[usize]) -> bool {
         let samples = self.samples.borrow();
         let last: Vec<&ViewSample> =
-            members.iter().filter_map(|&n| samples.iter().rev().find(|sample| sample.of == n)).collect();
+            members.iter().filter_map(|&n| samples.iter().rev().find(|sample| sample.steward == n)).collect();
         let names: Vec<String> = {
             let mut names: Vec<String> = members.iter().map(|n| format!("steward-{n}")).collect();
             names.sort();
@@ -368,13 +368,13 @@
             }
             Step::Begin(FaultKind::Lose { stewards, share, late, .. }) => {
                 let late = Duration::from_micros(late.0 as u64 * 100);
-                let of = self.pairs(|a, b| stewards.contains(&a) || stewards.contains(&b));
-                self.links.change(of, |link| (link.loss, link.late) = (share, late));
+                let pairs = self.pairs(|a, b| stewards.contains(&a) || stewards.contains(&b));
+                self.links.change(pairs, |link| (link.loss, link.late) = (share, late));
             }
             Step::Finish(FaultKind::Lose { stewards, .. }) => {
                 let loss = self.day.fleet.loss;
-                let of = self.pairs(|a, b| stewards.contains(&a) || stewards.contains(&b));
-                self.links.change(of, |link| (link.loss, link.late) = (loss, Duration::ZERO));
+                let pairs = self.pairs(|a, b| stewards.contains(&a) || stewards.contains(&b));
+                self.links.change(pairs, |link| (link.loss, link.late) = (loss, Duration::ZERO));
             }
             Step::Begin(FaultKind::Stop { stewards, .. }) => self.signal(&stewards, true).await,
             Step::Finish(FaultKind::Stop { stewards, .. }) => self.signal(&stewards, false).await,
--- a/crates/lab/src/judge/service.rs
+++ b/crates/lab/src/judge/service.rs
@@ -59,6 +59,6 @@
         reqs: asked.len(),
         total_share: share(&|_, _| true),
         worst_window_share: worst,
-        kinds: kinds.map(|(k, kind)| (kind.name.clone(), share(&|_, of| of == k))).collect(),
+        kinds: kinds.map(|(k, kind)| (kind.name.clone(), share(&|_, asked_kind| asked_kind == k))).collect(),
     }
 }
--- a/crates/lab/src/judge/unserved.rs
+++ b/crates/lab/src/judge/unserved.rs
@@ -48,7 +48,7 @@
     }
     // A forwarder that connects must receive assignments promptly.
     for connection in &tables.connections {
-        let known = tables.assigned.iter().filter(|((of, _), _)| *of == connection.forwarder);
+        let known = tables.assigned.iter().filter(|((forwarder, _), _)| *forwarder == connection.forwarder);
         let first =
             known.filter_map(|(_, all)| all.iter().find(|(at, _)| *at >= connection.from)).map(|c| c.0).min();
         let assigned_before = was_assigned_before(tables, connection.forwarder, connection.from);
@@ -75,5 +75,5 @@
     tables
         .assigned
         .iter()
-        .any(|((of, _), all)| *of == forwarder && all.first().is_some_and(|first| first.0 < at))
+        .any(|((receiver, _), all)| *receiver == forwarder && all.first().is_some_and(|first| first.0 < at))
 }
--- a/crates/lab/src/judge/writers.rs
+++ b/crates/lab/src/judge/writers.rs
@@ -50,13 +50,13 @@
             }
             // Writes in progress at a server end with it.
             Event::Down { at, server } => {
-                open.retain(|&(of, _, _), &mut (slice, index)| {
-                    if of == server.as_str() {
+                open.retain(|&(writer, _, _), &mut (slice, index)| {
+                    if writer == server.as_str() {
                         if let Some(write) = slices.get_mut(&slice).and_then(|writes| writes.get_mut(index)) {
                             write.end = write.end.min(*at);
                         }
                     }
-                    of != server.as_str()
+                    writer != server.as_str()
                 });
             }
             _ => {}
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -266,13 +266,13 @@
 }
 
 /// Formats the median, the 99th percentile and the maximum, with this many decimals.
-pub fn format_quantiles(of: Vec<f64>, digits: usize) -> String {
+pub fn format_quantiles(values: Vec<f64>, digits: usize) -> String {
     /// Resolution of a unit: the histogram counts integers.
     const RESOLUTION: f64 = 1e4;
     // Three significant digits are enough for these measurements. `new` fails only for more than five.
     let Ok(mut histogram) = hdrhistogram::Histogram::<u64>::new(3) else { return String::new() };
     // The histogram resizes itself, so recording doesn't fail.
-    of.iter().for_each(|value| _ = histogram.record((value.max(0.0) * RESOLUTION).round() as u64));
+    values.iter().for_each(|value| _ = histogram.record((value.max(0.0) * RESOLUTION).round() as u64));
     let at = |q: f64| histogram.value_at_quantile(q) as f64 / RESOLUTION;
     format!("{:.digits$} / {:.digits$} / {:.digits$}", at(0.5), at(0.99), histogram.max() as f64 / RESOLUTION)
 }
@@ -313,8 +313,8 @@
             let all = |pick: &dyn Fn(&Received) -> Option<Instant>| {
                 received.iter().map(|t| since(pick(t))).collect::<Vec<_>>()
             };
-            let first = |of: Vec<f64>| of.into_iter().fold(f64::INFINITY, f64::min);
-            let last = |of: Vec<f64>| of.into_iter().fold(0.0, f64::max);
+            let first = |times: Vec<f64>| times.into_iter().fold(f64::INFINITY, f64::min);
+            let last = |times: Vec<f64>| times.into_iter().fold(0.0, f64::max);
             columns[0].push(first(all(&|t| t.dropped)));
             columns[1].push(last(all(&|t| t.dropped)));
             columns[2].push(first(all(&|t| t.first_line)));
--- a/crates/lab/src/measure_sharing.rs
+++ b/crates/lab/src/measure_sharing.rs
@@ -183,8 +183,9 @@
             datagrams = Some(DatagramProxy::open(&Links::new(1, baseline), stewards, false).await?);
         }
         for steward in 0..stewards {
-            let view =
-                datagrams.as_ref().map_or(String::new(), |of| format!("fleet: {}\n", of.settings(steward)));
+            let view = datagrams
+                .as_ref()
+                .map_or(String::new(), |proxy| format!("fleet: {}\n", proxy.settings(steward)));
             std::fs::write(
                 dir.path().join(format!("{steward}.yaml")),
                 settings(steward, stewards, slices, address) + &view,
@@ -371,8 +372,8 @@
 /// Measures planned hand-overs without a view, with a view and its hints, and with a view over bad links.
 pub async fn planned(stewards: usize, slices: usize, rounds: usize) -> Result<(), LabError> {
     print_line(format_args!(
-        "\nA steward of {stewards} ends in order, {slices} slices, {rounds} times: from a forwarder's hearing that a slice is \
-         left until it hears who is in charge; ms as median / 99th / worst. Writes go on meanwhile."
+        "\nA steward of {stewards} ends in order, {slices} slices, {rounds} times: from a forwarder's notification that a \
+         slice is left until the one of its new steward; ms as median / 99th / worst. Writes go on meanwhile."
     ));
     print_line("\n| view | left to in charge | without writes |");
     print_line("| --- | ---: | ---: |");
@@ -404,7 +405,7 @@
         }
         waits.sort_by(f64::total_cmp);
         gaps.sort_by(f64::total_cmp);
-        let lost = bed.datagrams.as_ref().map_or(String::new(), |of| format!(" ({})", of.counts()));
+        let lost = bed.datagrams.as_ref().map_or(String::new(), |proxy| format!(" ({})", proxy.counts()));
         print_line(format_args!(
             "| {name}{lost} | {} | {} |",
             format_quantiles(waits, 0),
--- a/crates/lab/src/work/judge/jobs.rs
+++ b/crates/lab/src/work/judge/jobs.rs
@@ -152,8 +152,8 @@
         timeline.lines.iter().filter(|change| change.revision < revision).for_each(|change| {
             last.insert(change.job, change);
         });
-        let of = |change: &&&LineChange| matches!(&change.line, Some(line) if line.state == State::Leased(incarnation));
-        let jobs: BTreeSet<&str> = last.values().filter(of).map(|change| change.job).collect();
+        let held_by_site = |change: &&&LineChange| matches!(&change.line, Some(line) if line.state == State::Leased(incarnation));
+        let jobs: BTreeSet<&str> = last.values().filter(held_by_site).map(|change| change.job).collect();
         for job in jobs {
             let next = timeline.lines.iter().filter(|change| change.job == job && change.revision > revision);
             let next = next
--- a/crates/lab/src/work/measure.rs
+++ b/crates/lab/src/work/measure.rs
@@ -120,8 +120,8 @@
     fleet.store.put_key(&format!("{PREFIX}job/{job}"), spec);
     let first_call = |from: Time, except: Option<&str>| {
         fleet.effects.landings().into_iter().find_map(|landing| match landing.call {
-            Call::Open { site, job: of, .. } | Call::Step { site, job: of, .. }
-                if of == job && landing.at >= from && Some(site.as_str()) != except =>
+            Call::Open { site, job: called_job, .. } | Call::Step { site, job: called_job, .. }
+                if called_job == job && landing.at >= from && Some(site.as_str()) != except =>
             {
                 Some((landing.at, site))
             }
--- a/crates/platform/src/calls.rs
+++ b/crates/platform/src/calls.rs
@@ -241,14 +241,14 @@
         if !dispositions(orders.clone())
             .iter()
             .zip(orders)
-            .any(|(what, item)| *what == Disposition::Send && !item.is_mark())
+            .any(|(disposition, item)| *disposition == Disposition::Send && !item.is_mark())
         {
             return false;
         }
         let several = self.waiting.len() > 1;
         let orders: Vec<QueuedOrder> = self.waiting.drain(..).flatten().collect();
         let dispositions = dispositions(orders.iter());
-        if several || dispositions.iter().any(|what| *what != Disposition::Send) {
+        if several || dispositions.iter().any(|disposition| *disposition != Disposition::Send) {
             self.forget_marks();
         }
         let last_mark = orders.iter().rposition(QueuedOrder::is_mark);
@@ -292,7 +292,7 @@
             dispositions(orders())
                 .iter()
                 .zip(orders())
-                .any(|(what, item)| *what == Disposition::Send && !item.is_mark())
+                .any(|(disposition, item)| *disposition == Disposition::Send && !item.is_mark())
         };
         let is_pending =
             self.in_flight.is_none() && !self.waiting.is_empty() && (is_live || is_restrictive());
