--- a/crates/jobs/src/agent_sessions.rs
+++ b/crates/jobs/src/agent_sessions.rs
@@ -287,9 +287,9 @@
     }
 
     /// Completes the write of an outcome. If it was not carried out, the agent sends the outcome again.
-    pub fn settled(&mut self, job: &str, done: bool) {
+    pub fn settled(&mut self, job: &str, written: bool) {
         let Some(Settling { stream, token, .. }) = self.settling.get(job).cloned() else { return };
-        match done {
+        match written {
             true => self.complete_outcome(stream, job, token, None),
             false => _ = self.settling.remove(job),
         }
--- a/crates/platform-net/src/serve.rs
+++ b/crates/platform-net/src/serve.rs
@@ -292,7 +292,7 @@
     fn log_status(&mut self) {
         let (now, metrics) = (self.clock.now(), self.session.metrics());
         let age = |at: Option<Time>| at.map_or(-1, |at| to_ms(now - at));
-        let drains_due = self.session.owed(now);
+        let drains_due = self.session.pending_revokes(now);
         let longest = self.session.take_longest_hold();
         tracing::info!(
             joined = metrics.joined,
--- a/crates/platform/src/drains.rs
+++ b/crates/platform/src/drains.rs
@@ -25,27 +25,27 @@
     }
 
     /// Records that revokes are pending for exactly these slices.
-    pub fn observe(&mut self, now: Time, owed: impl Iterator<Item = usize>) {
+    pub fn observe(&mut self, now: Time, slices: impl Iterator<Item = usize>) {
         let mut since = vec![None; self.since.len()];
-        for slice in owed {
+        for slice in slices {
             since[slice] = self.since[slice].or(Some(now));
         }
         self.since = since;
-        self.warned &= self.owed(now).slices > 0;
+        self.warned &= self.pending(now).slices > 0;
     }
 
     /// Returns the revokes that are pending now.
-    pub fn owed(&self, now: Time) -> PendingRevokes {
-        let owed = || self.since.iter().flatten();
-        PendingRevokes { slices: owed().count(), oldest: owed().min().map_or(0, |since| now - since) }
+    pub fn pending(&self, now: Time) -> PendingRevokes {
+        let since = || self.since.iter().flatten();
+        PendingRevokes { slices: since().count(), oldest: since().min().map_or(0, |oldest| now - oldest) }
     }
 
     /// Returns the pending revokes once the oldest is older than half of the grace; then not again until none is
     /// pending.
     pub fn overdue(&mut self, now: Time) -> Option<PendingRevokes> {
-        let owed = self.owed(now);
-        let overdue = self.warn_after > 0 && owed.oldest >= self.warn_after && !self.warned;
+        let pending = self.pending(now);
+        let overdue = self.warn_after > 0 && pending.oldest >= self.warn_after && !self.warned;
         self.warned |= overdue;
-        overdue.then_some(owed)
+        overdue.then_some(pending)
     }
 }
--- a/crates/platform/src/hold.rs
+++ b/crates/platform/src/hold.rs
@@ -13,7 +13,7 @@
     Call,
     /// No notification has been received since the last call was answered, or for
     /// [`crate::NOTIFICATION_TIMEOUT`].
-    NothingHeard,
+    NoNotification,
 }
 
 impl Hold {
@@ -23,7 +23,7 @@
             Hold::SubscriptionLost => "subscription lost",
             Hold::Snapshot => "snapshot",
             Hold::Call => "call",
-            Hold::NothingHeard => "nothing heard",
+            Hold::NoNotification => "nothing heard",
         }
     }
 }
--- a/crates/platform/src/session.rs
+++ b/crates/platform/src/session.rs
@@ -157,8 +157,8 @@
     }
 
     /// Returns the pending revokes.
-    pub fn owed(&self, now: Time) -> PendingRevokes {
-        self.drains.owed(now)
+    pub fn pending_revokes(&self, now: Time) -> PendingRevokes {
+        self.drains.pending(now)
     }
 
     /// Returns the pending revokes once the oldest has been pending for half of the drains' grace; then not again
@@ -274,7 +274,7 @@
             None => self.decide(now),
             Some(_) => self.restrict(now),
         }
-        self.drains.observe(now, self.steward.owed());
+        self.drains.observe(now, self.steward.slices_to_revoke());
         self.poll_queued(now)
     }
 
@@ -285,7 +285,7 @@
             Subscription::Snapshot(_) => Some(Hold::Snapshot),
             Subscription::Live if !self.calls.settled() => Some(Hold::Call),
             Subscription::Live if self.awaiting_notification || self.is_silent(now) => {
-                Some(Hold::NothingHeard)
+                Some(Hold::NoNotification)
             }
             Subscription::Live => None,
         }
--- a/crates/ravenspar/src/work/duties.rs
+++ b/crates/ravenspar/src/work/duties.rs
@@ -46,7 +46,7 @@
         self.agent_sessions.set_known_revision(poll.revision);
         let Some((leadership, scheduler)) = &mut self.jobs_leadership else { return };
         // A poll that was requested for an earlier term lacks jobs.
-        if poll.request.jobs != leadership.term() {
+        if poll.request.jobs_term != leadership.term() {
             return;
         }
         scheduler.sites(now, poll.sites.iter().filter_map(rows::site).collect());
@@ -124,7 +124,7 @@
             if term.is_none() {
                 tracing::info!("no longer the leader of the duty of jobs");
             }
-            self.poll_request.send_modify(|request| request.jobs = term.unwrap_or(0));
+            self.poll_request.send_modify(|request| request.jobs_term = term.unwrap_or(0));
         }
         let debts_term = self.duties.term(DEBTS);
         if self.debts_leadership.as_ref().map(|(leadership, _)| leadership.term()) != debts_term {
--- a/crates/ravenspar/src/work/executors.rs
+++ b/crates/ravenspar/src/work/executors.rs
@@ -237,7 +237,9 @@
             }
         }
         match self.write_outcomes(&outcomes).await {
-            Ok(()) => events.extend(outcomes.into_iter().map(|(job, ..)| Event::Settled { job, done: true })),
+            Ok(()) => {
+                events.extend(outcomes.into_iter().map(|(job, ..)| Event::Settled { job, written: true }))
+            }
             Err(WriteError::Fatal(why)) => events.push(Event::Terminated(why)),
             // A line has changed since it was read: each outcome is tried on its own.
             Err(WriteError::ConditionFailed) => {
@@ -245,7 +247,7 @@
                     let written = self.write_outcomes(std::slice::from_ref(&outcome)).await;
                     match written {
                         Err(WriteError::Fatal(why)) => events.push(Event::Terminated(why)),
-                        written => events.push(Event::Settled { job: outcome.0, done: written.is_ok() }),
+                        result => events.push(Event::Settled { job: outcome.0, written: result.is_ok() }),
                     }
                 }
             }
@@ -277,7 +279,7 @@
                     Some(Event::LineRead { job, line })
                 }
                 (AgentRequest::ReadLine(job) | AgentRequest::Settle { job, .. }, None) => {
-                    Some(Event::Settled { job, done: false })
+                    Some(Event::Settled { job, written: false })
                 }
                 (AgentRequest::ReadSpec { stream, term, incarnation, job, token }, Some(Some(row))) => {
                     let spec = String::from_utf8_lossy(&row.value).into_owned();
--- a/crates/ravenspar/src/work/executors/tests.rs
+++ b/crates/ravenspar/src/work/executors/tests.rs
@@ -196,7 +196,7 @@
 async fn a_failed_read_of_a_line_refuses_no_outcome() {
     let read_line = || vec![AgentRequest::ReadLine("a".to_owned())];
     let failed = agent_executor(Arc::new(UnavailableStore)).execute(read_line()).await;
-    assert!(matches!(&failed[..], [Event::Settled { job, done: false }] if job == "a"));
+    assert!(matches!(&failed[..], [Event::Settled { job, written: false }] if job == "a"));
     let answered = agent_executor(Arc::new(Memory::default())).execute(read_line()).await;
     assert!(
         matches!(&answered[..], [Event::LineRead { job, line: None }] if job == "a"),
@@ -220,7 +220,7 @@
     let is_settled = |job: &str| {
         events
             .iter()
-            .any(|event| matches!(event, Event::Settled { job: settled, done: true } if settled == job))
+            .any(|event| matches!(event, Event::Settled { job: settled, written: true } if settled == job))
     };
     assert_eq!((is_settled("a"), is_settled("b")), (false, true));
     assert_eq!(value(&store, keys().outcome("a")).await, None);
--- a/crates/ravenspar/src/work/mod.rs
+++ b/crates/ravenspar/src/work/mod.rs
@@ -82,10 +82,10 @@
         job: String,
         line: Option<(JobLine, u64)>,
     },
-    /// An outcome was written or, if not `done`, has to be reported again.
+    /// The write of an outcome has ended. Unless it is `written`, the outcome has to be reported again.
     Settled {
         job: String,
-        done: bool,
+        written: bool,
     },
     SpecRead {
         stream: u64,
@@ -419,9 +419,9 @@
                 self.agent_sessions.renewed(stream, incarnation, sent, held)
             }
             Event::LineRead { job, line } => self.agent_sessions.read(&job, line),
-            Event::Settled { job, done } => {
-                self.agent_sessions.settled(&job, done);
-                if done {
+            Event::Settled { job, written } => {
+                self.agent_sessions.settled(&job, written);
+                if written {
                     self.poll_now.notify_one();
                 }
             }
--- a/crates/ravenspar/src/work/poll.rs
+++ b/crates/ravenspar/src/work/poll.rs
@@ -26,9 +26,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PollRequest {
     /// The term of the jobs leader.
-    pub jobs: u64,
+    pub jobs_term: u64,
     /// A generation number, incremented for each full read.
-    pub uses: u64,
+    pub uses_generation: u64,
 }
 
 /// The state and the changes that were read at one revision.
@@ -76,9 +76,11 @@
             let mut ranking_revision = 0;
             loop {
                 let request = *self.requests.borrow_and_update();
-                let refresh_due = request.jobs != last_request.jobs || polls_since_full >= FULL_READ_EVERY;
-                let full = since == 0 || request.jobs > 0 && refresh_due;
-                let all_uses = request.uses > 0 && request.uses != last_request.uses;
+                let refresh_due =
+                    request.jobs_term != last_request.jobs_term || polls_since_full >= FULL_READ_EVERY;
+                let full = since == 0 || request.jobs_term > 0 && refresh_due;
+                let all_uses =
+                    request.uses_generation > 0 && request.uses_generation != last_request.uses_generation;
                 let event = match self.poll(since, ranking_revision, request, full, all_uses).await {
                     Ok(poll) => {
                         polls_since_full = if full { 0 } else { polls_since_full + 1 };
@@ -119,13 +121,13 @@
         let (mut lines, mut jobs, mut from) = (Vec::new(), Vec::new(), since);
         if full {
             (from, lines) = ravenspar_store::read_all(&*self.store, prefix_range(keys.lines(), 0)).await?;
-            if request.jobs > 0 {
+            if request.jobs_term > 0 {
                 let (at, all) = ravenspar_store::read_all(&*self.store, prefix_range(keys.jobs(), 0)).await?;
                 (from, jobs) = (from.min(at), all);
             }
             from += 1;
         }
-        let uses = match (request.uses, all_uses) {
+        let uses = match (request.uses_generation, all_uses) {
             (0, _) => UNREACHED_REVISION,
             (_, true) => 0,
             _ => since,
@@ -142,7 +144,7 @@
             },
             prefix_range(keys.uses(), uses),
             prefix_range(keys.lines(), from),
-            prefix_range(keys.jobs(), if request.jobs > 0 { from } else { UNREACHED_REVISION }),
+            prefix_range(keys.jobs(), if request.jobs_term > 0 { from } else { UNREACHED_REVISION }),
         ];
         let read = self.store.read(ranges).await?;
         let mut ranges = read.ranges.into_iter();
@@ -159,7 +161,7 @@
             sites,
             lines,
             jobs,
-            is_full: full && request.jobs > 0,
+            is_full: full && request.jobs_term > 0,
             ranking: None,
             uses,
             all_uses,
--- a/crates/ravenspar/src/work/uses.rs
+++ b/crates/ravenspar/src/work/uses.rs
@@ -19,7 +19,7 @@
         // The poller reads all uses only for a generation that it has not seen.
         self.uses_generation += 1;
         let generation = if self.debts_leadership.is_some() { self.uses_generation } else { 0 };
-        self.poll_request.send_modify(|request| request.uses = generation);
+        self.poll_request.send_modify(|request| request.uses_generation = generation);
     }
 
     /// Takes in the published ranking and, as the leader of the duty of debts, the uses to be folded.
@@ -36,7 +36,9 @@
                 self.apply_ranking();
             }
         }
-        if self.debts_leadership.is_none() || poll.request.uses != self.poll_request.borrow().uses {
+        if self.debts_leadership.is_none()
+            || poll.request.uses_generation != self.poll_request.borrow().uses_generation
+        {
             return;
         }
         if poll.all_uses && self.debt_tracker.needs_reload() {
--- a/crates/steward/src/rebalance.rs
+++ b/crates/steward/src/rebalance.rs
@@ -206,9 +206,9 @@
     /// With `restrict` it contains revokes and withdrawals only, see [`Steward::next_restriction`].
     fn build_update(&mut self, now: Time, restrict: bool) -> Vec<Order> {
         let (leaving, urgent) = if restrict {
-            let owed: Vec<usize> = self.owed().collect();
-            let urgent = owed.len();
-            (owed, urgent)
+            let to_revoke: Vec<usize> = self.slices_to_revoke().collect();
+            let urgent = to_revoke.len();
+            (to_revoke, urgent)
         } else {
             self.slices_to_move(now)
         };
--- a/crates/steward/src/rebalance/handoff.rs
+++ b/crates/steward/src/rebalance/handoff.rs
@@ -29,7 +29,7 @@
 
     /// Returns the slices that have to be revoked: first those whose server drains, is gone or has restarted, then those
     /// whose line is unknown, which may be at no server.
-    pub fn owed(&self) -> impl Iterator<Item = usize> + '_ {
+    pub fn slices_to_revoke(&self) -> impl Iterator<Item = usize> + '_ {
         let without_server =
             (0..self.slices.len()).filter(|&slice| self.has_lost_server(&self.slices[slice]));
         without_server
@@ -46,12 +46,12 @@
 
     /// Returns true if any slice has to be revoked.
     pub fn is_restriction_due(&self) -> bool {
-        self.owed().next().is_some()
+        self.slices_to_revoke().next().is_some()
     }
 
     /// Returns the slices that are to leave their owners, the urgent ones first, and the number of urgent ones.
     pub(super) fn slices_to_move(&mut self, now: Time) -> (Vec<usize>, usize) {
-        let mut leaving: Vec<usize> = self.owed().collect();
+        let mut leaving: Vec<usize> = self.slices_to_revoke().collect();
         let urgent = leaving.len();
         // Many suspects at once point to a faulty view rather than faulty servers: then nothing moves.
         if self.ready().filter(|&server| !self.is_trusted(server, now)).count() * 4 <= self.ready().count() {
