--- a/crates/platform-net/src/serve.rs
+++ b/crates/platform-net/src/serve.rs
@@ -57,7 +57,7 @@
     last_call: u64,
     /// The last subscription whose snapshot was logged as complete.
     logged_subscription: u64,
-    /// Why the last unusable message since the last status line could not be used.
+    /// Why the last invalid report since the last status line was dropped.
     last_error: Option<String>,
 }
 
@@ -292,7 +292,7 @@
     fn log_status(&mut self) {
         let (now, metrics) = (self.clock.now(), self.session.metrics());
         let age = |at: Option<Time>| at.map_or(-1, |at| to_ms(now - at));
-        let drains_due = self.session.owed(now);
+        let drains_due = self.session.pending_revokes(now);
         let longest = self.session.take_longest_hold();
         tracing::info!(
             joined = metrics.joined,
@@ -303,7 +303,7 @@
             list_version = metrics.list_version.unwrap_or(0),
             list_age_ms = age(metrics.last_list),
             news_age_ms = age(metrics.last_notification),
-            spoilt = metrics.spoilt,
+            spoilt = metrics.invalid_messages,
             last_spoilt = self.last_error.take().unwrap_or_default(),
             calls_lost = metrics.lost,
             orders_refused = metrics.refused,
--- a/crates/ravenspar/src/work/mod.rs
+++ b/crates/ravenspar/src/work/mod.rs
@@ -20,7 +20,7 @@
 use ravenspar_duty::{Duties, Duty, Leadership, Pace, Step, Term};
 use ravenspar_jobs::{AgentSessions, JobLine, Scheduler, Token, Write};
 use ravenspar_net::Clock;
-use ravenspar_sharing::useful::RestDetector;
+use ravenspar_sharing::resting::RestDetector;
 use ravenspar_sharing::Incarnation;
 use ravenspar_steward::{Time, SECOND};
 use ravenspar_store::{FencedWriter, SharedStore};
@@ -82,10 +82,10 @@
         job: String,
         line: Option<(JobLine, u64)>,
     },
-    /// An outcome was written or, if not `done`, has to be reported again.
+    /// The write of an outcome has ended. Unless it is `written`, the outcome has to be reported again.
     Settled {
         job: String,
-        done: bool,
+        written: bool,
     },
     SpecRead {
         stream: u64,
@@ -419,9 +419,9 @@
                 self.agent_sessions.renewed(stream, incarnation, sent, held)
             }
             Event::LineRead { job, line } => self.agent_sessions.read(&job, line),
-            Event::Settled { job, done } => {
-                self.agent_sessions.settled(&job, done);
-                if done {
+            Event::Settled { job, written } => {
+                self.agent_sessions.settled(&job, written);
+                if written {
                     self.poll_now.notify_one();
                 }
             }
